--- a/tests/unit/wire/golden.cpp
+++ b/tests/unit/wire/golden.cpp
@@ -46,11 +46,11 @@
 
 void check(const std::string& file, const std::string& actual) {
     const auto expected = golden_text(file);
-    INFO("golden file " << file);
-    REQUIRE_FALSE(expected.empty());
     if (actual != expected) {
         keep_actual(file, actual);
     }
+    INFO("golden file " << file);
+    REQUIRE_FALSE(expected.empty());
     CHECK(actual == expected);
 }
 
