--- /dev/null
+++ b/tests/unit/wire/datagram_golden_test.cpp
@@ -0,0 +1,144 @@
+#include <catch2/catch.hpp>
+
+#include "membership/peer_record.hpp"
+#include "poison/crash_news.hpp"
+#include "tenancy/tenancy_messages.hpp"
+#include "wire_samples.hpp"
+
+using namespace anisehold;
+
+namespace {
+
+membership::PeerRecord full_record() {
+    membership::PeerRecord record;
+    record.name = "daemon-1";
+    record.zone = "zone-2";
+    record.boot_id = 0x0102030405060708;
+    record.sequence = 0x1112131415161718;
+    record.uptime_ms = 0x21222324;
+    record.call = {"10.1.0.3", 7'603};
+    record.gossip = {"10.1.0.4", 7'604};
+    record.leaving = true;
+    record.configuration_version = 0x3132333435363738;
+    record.watches_store = true;
+    record.client_routes = {"route/5", "route/6"};
+    record.servers = {{"i-7", "orders", 0x4142434445464748, 9, 10, 11, 12, 13'000, 14'000, 15, 16}};
+    overload::ServicePressure pressure;
+    pressure.service = "stock";
+    pressure.ended = 17;
+    pressure.refused = 18;
+    pressure.level = 0.75;
+    pressure.rows = {"route/19"};
+    pressure.recentEnded = 20;
+    pressure.recentRefused = 21;
+    pressure.works = {{"route/22", 2.5}};
+    record.pressures = {pressure};
+    return record;
+}
+
+poison::CrashNews full_news() {
+    poison::CrashNews news;
+    news.suspects = {{{0x0102030405060708, 0x1112131415161718}, 3, 4'005, {{0x2122232425262728}, {6}}},
+                     {{7, 8}, 9, 10, {{11}}}};
+    news.cleared = {{{0x3132333435363738, 0x4142434445464748}, 0x5152535455565758, 12'013}};
+    return news;
+}
+
+tenancy::Asker full_asker() {
+    return {{"10.1.0.8", 7'620}, 0x0102030405060708, 0x1112131415161718};
+}
+
+const std::vector<tenancy::Message> kTenancyMessages{
+    tenancy::ProofQuestion{full_asker()},
+    tenancy::ProofAnswer{full_asker(), 0x2122232425262728, 31},
+    tenancy::QuotaQuestion{full_asker(), "blue", 32, 33},
+    tenancy::QuotaAnswer{full_asker(), "green", true, "daemon-34", 35, 36, 37},
+    tenancy::ProofQuestion{},
+    tenancy::ProofAnswer{},
+    tenancy::QuotaQuestion{},
+    tenancy::QuotaAnswer{}};
+
+const std::vector<std::string> kTenancyNames{
+    "proof question, every field set", "proof answer, every field set", "quota question, every field set",
+    "quota answer, every field set",   "proof question, defaults",      "proof answer, defaults",
+    "quota question, defaults",        "quota answer, defaults"};
+
+}  // namespace
+
+TEST_CASE("a peer's record keeps its bytes", "[golden]") {
+    golden::check_dump("peer-record.txt",
+                       {{"every field set", encode(full_record())},
+                        {"defaults", encode(membership::PeerRecord{})},
+                        {"defaults within",
+                         [] {
+                             membership::PeerRecord record;
+                             record.servers.emplace_back();
+                             record.pressures.emplace_back();
+                             return encode(record);
+                         }()}},
+                       [](const std::string& bytes) {
+                           const auto record = membership::decode_peer_record(bytes);
+                           return record ? encode(*record) : "not decoded";
+                       });
+}
+
+TEST_CASE("the fields of a peer's record that was written earlier read back", "[golden]") {
+    const auto samples = golden::dumped_in("peer-record.txt");
+    REQUIRE(samples.size() == 3);
+    const auto record = membership::decode_peer_record(samples[0].bytes);
+    REQUIRE(record);
+    const auto expected = full_record();
+    CHECK(record->name == expected.name);
+    CHECK(record->zone == expected.zone);
+    CHECK(record->boot_id == expected.boot_id);
+    CHECK(record->sequence == expected.sequence);
+    CHECK(record->uptime_ms == expected.uptime_ms);
+    CHECK(record->call == expected.call);
+    CHECK(record->gossip == expected.gossip);
+    CHECK(record->leaving);
+    CHECK(record->configuration_version == expected.configuration_version);
+    CHECK(record->watches_store);
+    CHECK(record->client_routes == expected.client_routes);
+    CHECK(record->servers == expected.servers);
+    REQUIRE(record->pressures.size() == 1);
+    CHECK(record->pressures[0].service == "stock");
+    CHECK(record->pressures[0].ended == 17);
+    CHECK(record->pressures[0].refused == 18);
+    CHECK(record->pressures[0].level == 0.75);
+    CHECK(record->pressures[0].recentEnded == 20);
+    CHECK(record->pressures[0].recentRefused == 21);
+}
+
+TEST_CASE("news of crashes keep their bytes", "[golden]") {
+    golden::check_dump("crash-news.txt",
+                       {{"every field set", encode(full_news())}, {"defaults", encode(poison::CrashNews{})}},
+                       [](const std::string& bytes) {
+                           const auto news = poison::decodeCrashNews(bytes);
+                           return news ? encode(*news) : "not decoded";
+                       });
+}
+
+TEST_CASE("messages about tenants keep their bytes", "[golden]") {
+    std::vector<golden::Sample> samples;
+    for (std::size_t index = 0; index < kTenancyMessages.size(); ++index) {
+        samples.push_back({kTenancyNames[index], tenancy::encode(kTenancyMessages[index])});
+    }
+    golden::check_dump("tenancy-messages.txt", samples, [](const std::string& bytes) {
+        const auto message = tenancy::decode(bytes);
+        return message ? tenancy::encode(*message) : "not decoded";
+    });
+}
+
+TEST_CASE("datagrams of one port are told apart by their first byte", "[golden]") {
+    const auto record = encode(full_record());
+    const auto news = encode(full_news());
+    const auto tenants = tenancy::encode(kTenancyMessages.front());
+    golden::check("datagram-first-bytes.txt", std::string("peer record ") + record.front() + "\ncrash news " +
+                                                  news.front() + "\ntenants " + tenants.front() + '\n');
+    CHECK_FALSE(membership::decode_peer_record(news));
+    CHECK_FALSE(membership::decode_peer_record(tenants));
+    CHECK_FALSE(poison::decodeCrashNews(record));
+    CHECK_FALSE(poison::decodeCrashNews(tenants));
+    CHECK_FALSE(tenancy::decode(record));
+    CHECK_FALSE(tenancy::decode(news));
+}
--- /dev/null
+++ b/tests/unit/wire/hop_header_golden_test.cpp
@@ -0,0 +1,103 @@
+#include <catch2/catch.hpp>
+
+#include "hop/hop_header.hpp"
+#include "wire_samples.hpp"
+
+using namespace anisehold;
+using namespace anisehold::hop;
+
+namespace {
+
+HopResult full_result(HopOutcome outcome) {
+    HopResult result;
+    result.outcome = outcome;
+    result.error = ErrorKind::kQueueTimeout;
+    result.retry_after = milliseconds(41);
+    result.instance = "i-2";
+    result.in_flight = 3;
+    result.queued = 4;
+    result.limit = 5;
+    result.latency_us = 6'007;
+    result.failed_percent = 8;
+    result.crashes = 2;
+    result.overloaded_service = "stock";
+    return result;
+}
+
+}  // namespace
+
+TEST_CASE("the header line of a request between daemons keeps its text", "[golden]") {
+    const HopRequest full{"i-1", "orders", 2, milliseconds(1'250), milliseconds(251), true, 35, "route/2", 3};
+    golden::check_text("hop-request.txt",
+                       {{"every field set", encode(full)}, {"defaults", encode(HopRequest{})}},
+                       [](const std::string& text) {
+                           const auto request = decode_hop_request(text);
+                           return request ? encode(*request) : "not decoded";
+                       });
+}
+
+TEST_CASE("the header line of an answer between daemons keeps its text", "[golden]") {
+    std::vector<golden::Sample> samples;
+    for (const auto outcome :
+         {HopOutcome::kAnswered, HopOutcome::kNotSent, HopOutcome::kRefusedByServer, HopOutcome::kUnknown}) {
+        samples.push_back(
+            {"every field set, " + std::string(outcome_name(outcome)), encode(full_result(outcome))});
+    }
+    samples.push_back({"defaults", encode(HopResult{})});
+    golden::check_text("hop-result.txt", samples, [](const std::string& text) {
+        const auto result = decode_hop_result(text);
+        return result ? encode(*result) : "not decoded";
+    });
+}
+
+TEST_CASE("the fields of a hop result that was written earlier read back", "[golden]") {
+    const auto samples = golden::texts_in("hop-result.txt");
+    REQUIRE(samples.size() == 5);
+    const auto result = decode_hop_result(samples[1].bytes);
+    REQUIRE(result);
+    CHECK(result->outcome == HopOutcome::kNotSent);
+    CHECK(result->error == ErrorKind::kQueueTimeout);
+    CHECK(result->retry_after == milliseconds(41));
+    CHECK(result->instance == "i-2");
+    CHECK(result->in_flight == 3);
+    CHECK(result->queued == 4);
+    CHECK(result->limit == 5);
+    CHECK(result->latency_us == 6'007);
+    CHECK(result->failed_percent == 8);
+    CHECK(result->crashes == 2);
+    CHECK(result->overloaded_service == "stock");
+}
+
+TEST_CASE("the fields of a hop request that was written earlier read back", "[golden]") {
+    const auto samples = golden::texts_in("hop-request.txt");
+    REQUIRE(samples.size() == 2);
+    const auto request = decode_hop_request(samples[0].bytes);
+    REQUIRE(request);
+    CHECK(request->instance == "i-1");
+    CHECK(request->caller == "orders");
+    CHECK(request->priority == 2);
+    CHECK(request->remaining == milliseconds(1'250));
+    CHECK(request->longest_wait == milliseconds(251));
+    CHECK(request->at_most_once);
+    CHECK(request->repeat_percent == 35);
+    CHECK(request->row == "route/2");
+    CHECK(request->crashes == 3);
+}
+
+TEST_CASE("every error kind keeps its name on the wire", "[golden]") {
+    std::vector<golden::Sample> samples;
+    for (const auto& answer : error_answers()) {
+        HopResult result;
+        result.error = answer.kind;
+        samples.push_back({std::to_string(static_cast<int>(answer.kind)), encode(result)});
+    }
+    golden::check_text("hop-result-errors.txt", samples, [](const std::string& text) {
+        const auto result = decode_hop_result(text);
+        return result ? encode(*result) : "not decoded";
+    });
+}
+
+TEST_CASE("the header lines between daemons keep their names", "[golden]") {
+    golden::check("hop-header-names.txt",
+                  std::string(kRequestHeader) + '\n' + std::string(kResultHeader) + '\n');
+}
