--- a/tests/unit/wire/platform_documents_test.cpp
+++ b/tests/unit/wire/platform_documents_test.cpp
@@ -73,7 +73,8 @@
         holders[key.value] = holder.value;
     }
     for (const auto& [key, holder] : holders) {
-        text += "key: " + key + " of " + holder + "\n";
+        text += "key: " + key;
+        text += " of " + holder + "\n";
     }
     return text + "usual priority: " + std::to_string(ring.usualPriority) + "\n";
 }
