--- a/tests/unit/wire/catalogue_golden_test.cpp
+++ b/tests/unit/wire/catalogue_golden_test.cpp
@@ -1,5 +1,6 @@
 #include <algorithm>
 #include <catch2/catch.hpp>
+#include <regex>
 #include <sstream>
 #include <string>
 #include <vector>
@@ -195,3 +196,22 @@
     logging::finishLine(line);
     golden::check("catalogue_log_line.txt", line + "\n");
 }
+
+TEST_CASE("the line of an event and that of an answer", "[golden]") {
+    observability::start_logging("debug", "json", "n1");
+    const auto before = observability::recent_events().size();
+    observability::log_event(observability::Event::kServerRegistered,
+                             {{"instance", "i-1"}, {"slots", "16"}, {"empty", ""}});
+    observability::log_answer(ErrorKind::kOverloaded, {{"request_id", "9c41"}});
+    observability::stop_logging();
+    const auto lines = observability::recent_events();
+    REQUIRE(lines.size() == before + 2);
+    const std::regex time(R"(^\{"time":"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z")");
+    std::string text;
+    for (auto index = before; index < lines.size(); ++index) {
+        INFO(lines[index]);
+        CHECK(std::regex_search(lines[index], time));
+        text += std::regex_replace(lines[index], time, R"({"time":"TIME")") + "\n";
+    }
+    golden::check("catalogue_event_lines.txt", text);
+}
