--- a/src/sidecar/call_attempts.cpp
+++ b/src/sidecar/call_attempts.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 
 #include "net/event_loop.hpp"
-#include "poison/suspect_server.hpp"
 #include "sidecar/call_ingress.hpp"
+#include "suspects/suspect_server.hpp"
 
 namespace anisehold::sidecar {
 namespace {
@@ -88,7 +88,7 @@
                                        [this] { return context_.random_unit(); });
     }
     // A suspect isn't at two servers at once.
-    return running > 0 ? nullptr : poison::chooseForSuspect(view, call.identity.digest, call.tried);
+    return running > 0 ? nullptr : suspects::chooseForSuspect(view, call.identity.digest, call.tried);
 }
 
 net::HttpResponse CallIngress::run(Call& call, net::HttpRequest& request, net::CancelSignal& cancel) {
--- a/src/sidecar/crash_exchange.cpp
+++ b/src/sidecar/crash_exchange.cpp
@@ -43,7 +43,7 @@
 std::vector<RememberedRequest> CrashExchange::remembered(TimePoint now) const {
     std::vector<RememberedRequest> requests;
     for (const auto& [digest, suspect] : ledger_.suspects) {
-        const auto ends = suspect.latest + poison::condemnationTime(suspect.numCrashes);
+        const auto ends = suspect.latest + suspects::condemnationTime(suspect.numCrashes);
         requests.push_back({digest, suspect.numCrashes, now < ends, std::max(ends - now, Duration::zero())});
     }
     std::sort(requests.begin(), requests.end(),
@@ -63,7 +63,7 @@
                           const char* source) {
     const auto now = TimePoint::clock::now();
     const bool was_condemned = is_condemned(now, request);
-    poison::noteCrashes(ledger_, now, request, crashes, age);
+    suspects::noteCrashes(ledger_, now, request, crashes, age);
     const bool is_new = !was_condemned && is_condemned(now, request);
     if (is_new) {
         log_event(Event::kRequestCondemned, {{"digest", request.digest.text()},
@@ -74,8 +74,8 @@
     return is_new;
 }
 
-void CrashExchange::on_crash(const std::vector<poison::CrashedRun>& runs) {
-    for (const auto& run : poison::blamed(runs)) {
+void CrashExchange::on_crash(const std::vector<suspects::CrashedRun>& runs) {
+    for (const auto& run : suspects::blamed(runs)) {
         if (raise(run.request, run.crashesBefore + 1, Duration::zero(), "crash")) {
             net::EventLoop::spawn([this, request = run.request] { keep_verdict(request); });
         }
@@ -96,19 +96,19 @@
 void CrashExchange::on_answered(const RequestIdentity& request) {
     const auto now = TimePoint::clock::now();
     const auto crashes = crashes_of(now, request);
-    if (crashes == 0 || !poison::noteAnswered(ledger_, now, request)) {
+    if (crashes == 0 || !suspects::noteAnswered(ledger_, now, request)) {
         return;
     }
     log_event(Event::kRequestCleared,
               {{"digest", request.digest.text()}, {"crashes", std::to_string(crashes)}});
-    if (crashes >= poison::crashesToCondemn) {
+    if (crashes >= suspects::crashesToCondemn) {
         net::EventLoop::spawn([this, digest = request.digest] { remove_verdict(digest); });
     }
     changed_.give();
 }
 
 bool CrashExchange::lift(const RequestDigest& digest) {
-    if (!poison::forget(ledger_, TimePoint::clock::now(), digest)) {
+    if (!suspects::forget(ledger_, TimePoint::clock::now(), digest)) {
         return false;
     }
     log_event(Event::kRequestCleared, {{"digest", digest.text()}, {"by", "operator"}});
@@ -117,10 +117,11 @@
     return true;
 }
 
-void CrashExchange::on_news(const poison::CrashNews& news) {
+void CrashExchange::on_news(const suspects::CrashNews& news) {
     const auto now = TimePoint::clock::now();
     for (const auto& each : news.cleared) {
-        poison::noteCleared(ledger_, now, {each.digest, CallerDigest(each.caller)}, milliseconds(each.ageMs));
+        suspects::noteCleared(ledger_, now, {each.digest, CallerDigest(each.caller)},
+                              milliseconds(each.ageMs));
     }
     for (const auto& each : news.suspects) {
         for (const auto& it : each.callers) {
@@ -131,7 +132,7 @@
 }
 
 void CrashExchange::on_peer_appeared(const Endpoint& gossip) {
-    const auto news = poison::newsOf(ledger_, TimePoint::clock::now());
+    const auto news = suspects::newsOf(ledger_, TimePoint::clock::now());
     if (!news.empty()) {
         send_(gossip, encode(news));
     }
@@ -141,13 +142,14 @@
     for (const auto& item : items) {
         const auto digest = parse_request_digest(
             std::string_view(item.key).substr(std::min(item.key.size(), kVerdictPrefix.size())));
-        const auto verdict = poison::decodeStoredVerdict(item.value);
+        const auto verdict = suspects::decodeStoredVerdict(item.value);
         if (!digest || !verdict) {
             log_event(Event::kVerdictStored, {{"key", item.key}, {"outcome", "not a verdict"}});
             continue;
         }
         const milliseconds age(std::max<std::int64_t>(0, unix_milliseconds() - verdict->latestUnixMs));
-        const bool is_over = age > poison::condemnationTime(verdict->numCrashes) + poison::suspicionLifetime;
+        const bool is_over =
+            age > suspects::condemnationTime(verdict->numCrashes) + suspects::suspicionLifetime;
         if (is_over && may_remove) {
             store_.remove(item.key, item.revision, store_call_deadline());
         }
@@ -160,7 +162,7 @@
 }
 
 void CrashExchange::tell_all() {
-    const auto news = poison::newsOf(ledger_, TimePoint::clock::now());
+    const auto news = suspects::newsOf(ledger_, TimePoint::clock::now());
     if (news.empty()) {
         return;
     }
@@ -188,7 +190,7 @@
         const std::chrono::duration<double> period = kTellOnePeriod * (0.5 + context_.random_unit());
         boost::this_fiber::sleep_for(std::chrono::duration_cast<Duration>(period));
         const auto now = TimePoint::clock::now();
-        poison::expire(ledger_, now);
+        suspects::expire(ledger_, now);
         set_metrics(now);
         if (ledger_.suspects.empty() && ledger_.cleared.empty()) {
             continue;
@@ -209,7 +211,7 @@
         return;
     }
     const auto value =
-        encode(poison::StoredVerdict{found->second.numCrashes, unix_milliseconds(), found->second.callers});
+        encode(suspects::StoredVerdict{found->second.numCrashes, unix_milliseconds(), found->second.callers});
     auto outcome = store::CallOutcome::kUnknown;
     while (outcome != store::CallOutcome::kDone && is_condemned(TimePoint::clock::now(), request)) {
         outcome = store_.write({{key, value}}, store_call_deadline()).outcome;
--- a/src/sidecar/crash_exchange.hpp
+++ b/src/sidecar/crash_exchange.hpp
@@ -9,10 +9,10 @@
 
 #include "membership/peer_directory.hpp"
 #include "net/fiber_signal.hpp"
-#include "poison/crash_ledger.hpp"
-#include "poison/crash_news.hpp"
 #include "sidecar/sidecar_context.hpp"
 #include "store/coordination_store.hpp"
+#include "suspects/crash_ledger.hpp"
+#include "suspects/crash_news.hpp"
 
 namespace anisehold::sidecar {
 
@@ -42,21 +42,21 @@
 
     /// Crashes in a row that are known of the request; 0 for nearly all.
     unsigned crashes_of(TimePoint now, const RequestIdentity& request) const {
-        return poison::crashesOf(ledger_, now, request);
+        return suspects::crashesOf(ledger_, now, request);
     }
     bool is_condemned(TimePoint now, const RequestIdentity& request) const {
-        return poison::isCondemned(ledger_, now, request);
+        return suspects::isCondemned(ledger_, now, request);
     }
     /// The requests that are condemned or suspected, those with the most crashes first.
     std::vector<RememberedRequest> remembered(TimePoint now) const;
 
     /// The server beside crashed with these running.
-    void on_crash(const std::vector<poison::CrashedRun>& runs);
+    void on_crash(const std::vector<suspects::CrashedRun>& runs);
     /// A gate told so many crashes of a request with its result.
     void on_told(const RequestIdentity& request, unsigned crashes);
     /// A server gave the request a whole answer.
     void on_answered(const RequestIdentity& request);
-    void on_news(const poison::CrashNews& news);
+    void on_news(const suspects::CrashNews& news);
     /// A peer has just started, or was cut off: it is told everything.
     void on_peer_appeared(const Endpoint& gossip);
     /// Items of the store below `kVerdictPrefix`; `may_remove`: this daemon clears away those that are over.
@@ -79,7 +79,7 @@
     store::CoordinationStore& store_;
     membership::PeerDirectory& directory_;
     Send send_;
-    poison::CrashLedger ledger_;
+    suspects::CrashLedger ledger_;
     net::FiberSignal changed_;
 };
 
--- a/src/sidecar/crash_watch.cpp
+++ b/src/sidecar/crash_watch.cpp
@@ -52,7 +52,7 @@
     return is_first;
 }
 
-std::vector<poison::CrashedRun> CrashWatch::unanswered() const {
+std::vector<suspects::CrashedRun> CrashWatch::unanswered() const {
     std::unordered_map<RequestIdentity, unsigned> crashes_before;
     for (const auto& [run, at_server] : runs_) {
         if (!at_server.progress->request_started) {
@@ -61,7 +61,7 @@
         auto& before = crashes_before[at_server.request.request];
         before = std::max(before, at_server.request.crashesBefore);
     }
-    std::vector<poison::CrashedRun> unanswered;
+    std::vector<suspects::CrashedRun> unanswered;
     unanswered.reserve(crashes_before.size());
     for (const auto& [request, before] : crashes_before) {
         unanswered.push_back({request, before});
--- a/src/sidecar/crash_watch.hpp
+++ b/src/sidecar/crash_watch.hpp
@@ -10,14 +10,14 @@
 
 #include "net/fiber_event.hpp"
 #include "net/http_client.hpp"
-#include "poison/crash_ledger.hpp"
 #include "protocol/time_types.hpp"
+#include "suspects/crash_ledger.hpp"
 
 namespace anisehold::sidecar {
 
 /// One request that is on its way to the server, or at it.
 struct ServerRun {
-    poison::CrashedRun request;
+    suspects::CrashedRun request;
     const net::ExchangeProgress* progress = nullptr;
 };
 
@@ -38,7 +38,7 @@
     /// What had been sent to the server and not answered. True for the caller that may report it: the first
     /// one after the server was found to be gone.
     bool take_report();
-    std::vector<poison::CrashedRun> unanswered() const;
+    std::vector<suspects::CrashedRun> unanswered() const;
 
   private:
     struct Look {
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -225,7 +225,7 @@
 }
 
 bool Sidecar::receive_message(std::string_view bytes) {
-    if (const auto news = poison::decodeCrashNews(bytes)) {
+    if (const auto news = suspects::decodeCrashNews(bytes)) {
         parts_->crashes.on_news(*news);
         return true;
     }
--- a/src/sidecar/suspect_queue.hpp
+++ b/src/sidecar/suspect_queue.hpp
@@ -8,8 +8,8 @@
 
 #include "net/fiber_event.hpp"
 #include "net/http_types.hpp"
-#include "poison/suspect_lane.hpp"
 #include "protocol/time_types.hpp"
+#include "suspects/suspect_lane.hpp"
 
 namespace anisehold::sidecar {
 
@@ -39,7 +39,7 @@
   private:
     void leave(unsigned crashes);
 
-    poison::SuspectLane lane_;
+    suspects::SuspectLane lane_;
     std::list<net::FiberEvent*> waiting_;
 };
 
--- a/src/poison/crash_ledger.cpp
+++ b/src/suspects/crash_ledger.cpp
@@ -1,9 +1,9 @@
-#include "poison/crash_ledger.hpp"
+#include "suspects/crash_ledger.hpp"
 
 #include <algorithm>
 #include <iterator>
 
-namespace anisehold::poison
+namespace anisehold::suspects
 {
 namespace
 {
@@ -169,4 +169,4 @@
     return strongest;
 }
 
-} // namespace anisehold::poison
+} // namespace anisehold::suspects
--- a/src/poison/crash_ledger.hpp
+++ b/src/suspects/crash_ledger.hpp
@@ -19,7 +19,7 @@
 #include "protocol/request_digest.hpp"
 #include "protocol/time_types.hpp"
 
-namespace anisehold::poison
+namespace anisehold::suspects
 {
 
 /** Crashes in a row after which a request isn't sent to any server. Of 2 the second may still be chance: of
@@ -101,4 +101,4 @@
     bystanders. */
 std::vector<CrashedRun> blamed (const std::vector<CrashedRun>&);
 
-} // namespace anisehold::poison
+} // namespace anisehold::suspects
--- a/src/poison/crash_news.cpp
+++ b/src/suspects/crash_news.cpp
@@ -1,11 +1,11 @@
-#include "poison/crash_news.hpp"
+#include "suspects/crash_news.hpp"
 
 #include <algorithm>
 #include <charconv>
 
 #include "protocol/message_archive.hpp"
 
-namespace anisehold::poison
+namespace anisehold::suspects
 {
 namespace
 {
@@ -123,4 +123,4 @@
     return text.empty() && ! verdict.callers.empty() ? std::optional (verdict) : std::nullopt;
 }
 
-} // namespace anisehold::poison
+} // namespace anisehold::suspects
--- a/src/poison/crash_news.hpp
+++ b/src/suspects/crash_news.hpp
@@ -8,11 +8,11 @@
 #include <string_view>
 #include <vector>
 
-#include "poison/crash_ledger.hpp"
 #include "protocol/request_digest.hpp"
 #include "protocol/serialize_all.hpp"
+#include "suspects/crash_ledger.hpp"
 
-namespace anisehold::poison
+namespace anisehold::suspects
 {
 
 /** One caller. A struct, since the archives write and read bare vectors of numbers in two ways. */
@@ -99,4 +99,4 @@
 /** Nothing if the text isn't a verdict. */
 std::optional<StoredVerdict> decodeStoredVerdict (std::string_view);
 
-} // namespace anisehold::poison
+} // namespace anisehold::suspects
--- a/src/poison/suspect_lane.hpp
+++ b/src/suspects/suspect_lane.hpp
@@ -8,9 +8,9 @@
 
 #include <algorithm>
 
-#include "poison/crash_ledger.hpp"
+#include "suspects/crash_ledger.hpp"
 
-namespace anisehold::poison
+namespace anisehold::suspects
 {
 
 /** Suspects of one crash that run at one server at once. The more, the more are left after a second crash;
@@ -43,4 +43,4 @@
     count -= std::min (count, 1U);
 }
 
-} // namespace anisehold::poison
+} // namespace anisehold::suspects
--- a/src/poison/suspect_server.cpp
+++ b/src/suspects/suspect_server.cpp
@@ -1,10 +1,10 @@
-#include "poison/suspect_server.hpp"
+#include "suspects/suspect_server.hpp"
 
 #include <algorithm>
 
 #include "routing/rendezvous.hpp"
 
-namespace anisehold::poison
+namespace anisehold::suspects
 {
 
 const membership::KnownServer* chooseForSuspect (const membership::ServiceView& view,
@@ -37,4 +37,4 @@
     return best;
 }
 
-} // namespace anisehold::poison
+} // namespace anisehold::suspects
--- a/src/poison/suspect_server.hpp
+++ b/src/suspects/suspect_server.hpp
@@ -7,7 +7,7 @@
 #include "membership/peer_directory.hpp"
 #include "protocol/request_digest.hpp"
 
-namespace anisehold::poison
+namespace anisehold::suspects
 {
 
 /** The server of the view that ranks first for the suspect by rendezvous hash, of those not in `tried`; null
@@ -16,4 +16,4 @@
 const membership::KnownServer* chooseForSuspect (const membership::ServiceView&, const RequestDigest&,
                                                  const std::vector<std::string>& tried);
 
-} // namespace anisehold::poison
+} // namespace anisehold::suspects
--- a/tests/incidents/crash_model.cpp
+++ b/tests/incidents/crash_model.cpp
@@ -9,17 +9,17 @@
 #include <string>
 #include <vector>
 
-#include "poison/crash_ledger.hpp"
-#include "poison/suspect_lane.hpp"
-#include "poison/suspect_server.hpp"
+#include "suspects/crash_ledger.hpp"
+#include "suspects/suspect_lane.hpp"
+#include "suspects/suspect_server.hpp"
 
 namespace anisehold::model
 {
 namespace
 {
 
-using poison::CrashedRun;
-using poison::CrashLedger;
+using suspects::CrashedRun;
+using suspects::CrashLedger;
 
 constexpr std::size_t numDaemons = 14;
 constexpr std::size_t numServers = 4;
@@ -63,7 +63,7 @@
     std::string name;
     bool isUp = true;
     std::vector<Run> runs;
-    poison::SuspectLane lane;
+    suspects::SuspectLane lane;
     std::deque<RequestPtr> waiting;
 };
 
@@ -163,12 +163,12 @@
 
     unsigned crashesOf (std::size_t daemon, const RequestIdentity& identity) const
     {
-        return ways.remembers ? poison::crashesOf (ledgers[daemon], now, identity) : 0;
+        return ways.remembers ? suspects::crashesOf (ledgers[daemon], now, identity) : 0;
     }
 
     bool isCondemned (std::size_t daemon, const RequestIdentity& identity) const
     {
-        return ways.remembers && (poison::isCondemned (ledgers[daemon], now, identity) ||
+        return ways.remembers && (suspects::isCondemned (ledgers[daemon], now, identity) ||
                                   crashesOf (daemon, identity) >= ways.toCondemn);
     }
 
@@ -186,7 +186,7 @@
         const membership::KnownServer* chosen = nullptr;
 
         if (isSuspect && ways.sendsToOneServer)
-            chosen = poison::chooseForSuspect (view, request.identity().digest, request.tried);
+            chosen = suspects::chooseForSuspect (view, request.identity().digest, request.tried);
         else
         {
             std::vector<const membership::KnownServer*> left;
@@ -235,10 +235,10 @@
 
         if (crashes > 0 && ways.limitsSuspects)
         {
-            if (! poison::mayBegin (server.lane, crashes))
+            if (! suspects::mayBegin (server.lane, crashes))
                 return server.waiting.push_back (request);
 
-            poison::noteBegan (server.lane, crashes);
+            suspects::noteBegan (server.lane, crashes);
         }
 
         const auto id = ++lastRun;
@@ -269,7 +269,7 @@
 
         if (run.crashesBefore > 0)
             tell (gateOf (server), [this, identity = run.request->identity()] (CrashLedger& ledger)
-                  { poison::noteCleared (ledger, now, identity, {}); });
+                  { suspects::noteCleared (ledger, now, identity, {}); });
     }
 
     void leaveLane (Server& server, const Run& run)
@@ -277,7 +277,7 @@
         if (run.crashesBefore == 0 || ! ways.limitsSuspects)
             return;
 
-        poison::noteEnded (server.lane, run.crashesBefore);
+        suspects::noteEnded (server.lane, run.crashesBefore);
         auto waiting = std::move (server.waiting);
         server.waiting.clear();
 
@@ -317,16 +317,16 @@
         for (const auto& it : runs)
             crashed.push_back ({ it.request->identity(), it.crashesBefore });
 
-        for (const auto& it : poison::blamed (crashed))
+        for (const auto& it : suspects::blamed (crashed))
             tell (gateOf (server), [this, it] (CrashLedger& ledger)
-                  { poison::noteCrashes (ledger, now, it.request, it.crashesBefore + 1); });
+                  { suspects::noteCrashes (ledger, now, it.request, it.crashesBefore + 1); });
 
         for (const auto& it : runs)
         {
             // The result tells the daemon near the caller.
             const auto identity = it.request->identity();
-            poison::noteCrashes (ledgers[it.request->daemon], now, identity,
-                                 poison::crashesOf (ledgers[gateOf (server)], now, identity));
+            suspects::noteCrashes (ledgers[it.request->daemon], now, identity,
+                                   suspects::crashesOf (ledgers[gateOf (server)], now, identity));
             after (milliseconds (1), [this, request = it.request] { send (request); });
         }
 
--- a/tests/unit/poison/crash_ledger_test.cpp
+++ b/tests/unit/suspects/crash_ledger_test.cpp
@@ -1,9 +1,9 @@
-#include "poison/crash_ledger.hpp"
+#include "suspects/crash_ledger.hpp"
 
 #include <catch2/catch.hpp>
 
 using namespace anisehold;
-using namespace anisehold::poison;
+using namespace anisehold::suspects;
 
 namespace
 {
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE ("three crashes in a row condemn a request, two don't", "[poison]")
+TEST_CASE ("three crashes in a row condemn a request, two don't", "[suspects]")
 {
     CrashLedger ledger;
     CHECK (noteCrashes (ledger, start, shopPage, 1));
@@ -30,7 +30,7 @@
     CHECK (crashesOf (ledger, start, shopPage) == 3);
 }
 
-TEST_CASE ("servers that crash at the same moment count once, whatever their number", "[poison]")
+TEST_CASE ("servers that crash at the same moment count once, whatever their number", "[suspects]")
 {
     CrashLedger ledger;
 
@@ -40,7 +40,7 @@
     CHECK (crashesOf (ledger, start, shopPage) == 1);
 }
 
-TEST_CASE ("news in any order, and twice, lead to the same", "[poison]")
+TEST_CASE ("news in any order, and twice, lead to the same", "[suspects]")
 {
     CrashLedger ledger;
     CHECK (noteCrashes (ledger, start, shopPage, 3, seconds (1)));
@@ -50,7 +50,7 @@
     CHECK_FALSE (isCondemned (ledger, start + firstCondemnation - milliseconds (999), shopPage));
 }
 
-TEST_CASE ("an answer clears a request, and late news don't bring it back", "[poison]")
+TEST_CASE ("an answer clears a request, and late news don't bring it back", "[suspects]")
 {
     CrashLedger ledger;
     noteCrashes (ledger, start, shopPage, 2);
@@ -61,7 +61,7 @@
     CHECK (noteCrashes (ledger, start + innocenceLifetime, shopPage, 1));
 }
 
-TEST_CASE ("news of an answer may overtake those of the crash", "[poison]")
+TEST_CASE ("news of an answer may overtake those of the crash", "[suspects]")
 {
     CrashLedger ledger;
     CHECK_FALSE (noteCleared (ledger, start, shopPage, milliseconds (5)));
@@ -69,14 +69,14 @@
     CHECK (ledger.suspects.empty());
 }
 
-TEST_CASE ("an answer to a request that is no suspect is not remembered", "[poison]")
+TEST_CASE ("an answer to a request that is no suspect is not remembered", "[suspects]")
 {
     CrashLedger ledger;
     CHECK_FALSE (noteAnswered (ledger, start, shopPage));
     CHECK (ledger.cleared.empty());
 }
 
-TEST_CASE ("another caller's request is a strong suspect until it crashes a server itself", "[poison]")
+TEST_CASE ("another caller's request is a strong suspect until it crashes a server itself", "[suspects]")
 {
     CrashLedger ledger;
     noteCrashes (ledger, start, shopPage, 3);
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_CASE ("a chain goes on over callers", "[poison]")
+TEST_CASE ("a chain goes on over callers", "[suspects]")
 {
     CrashLedger ledger;
     noteCrashes (ledger, start, shopPage, 1);
@@ -109,7 +109,7 @@
     CHECK (isCondemned (ledger, start, tillPage));
 }
 
-TEST_CASE ("a condemnation ends with a trial, and a failed trial makes the next one longer", "[poison]")
+TEST_CASE ("a condemnation ends with a trial, and a failed trial makes the next one longer", "[suspects]")
 {
     CrashLedger ledger;
     noteCrashes (ledger, start, shopPage, 3);
@@ -122,7 +122,7 @@
     CHECK (condemnationTime (2) == Duration::zero());
 }
 
-TEST_CASE ("what is old is forgotten, and the number of suspects is bounded", "[poison]")
+TEST_CASE ("what is old is forgotten, and the number of suspects is bounded", "[suspects]")
 {
     CrashLedger ledger;
     noteCrashes (ledger, start, shopPage, 3);
@@ -141,7 +141,7 @@
     CHECK (ledger.suspects.empty());
 }
 
-TEST_CASE ("an operator's lifting holds for all callers", "[poison]")
+TEST_CASE ("an operator's lifting holds for all callers", "[suspects]")
 {
     CrashLedger ledger;
     noteCrashes (ledger, start, shopPage, 3);
@@ -152,7 +152,7 @@
     CHECK_FALSE (noteCrashes (ledger, start + seconds (1), deskPage, 3, seconds (1)));
 }
 
-TEST_CASE ("a crash with a strong suspect running speaks of that one alone", "[poison]")
+TEST_CASE ("a crash with a strong suspect running speaks of that one alone", "[suspects]")
 {
     const RequestIdentity other{ { 0, 8 }, shop };
     CHECK (blamed ({ { shopPage, 1 }, { other, 0 } }).size() == 2);
--- a/tests/unit/poison/crash_news_test.cpp
+++ b/tests/unit/suspects/crash_news_test.cpp
@@ -1,13 +1,13 @@
-#include "poison/crash_news.hpp"
+#include "suspects/crash_news.hpp"
 
 #include <catch2/catch.hpp>
 #include <random>
 
-#include "poison/suspect_lane.hpp"
-#include "poison/suspect_server.hpp"
+#include "suspects/suspect_lane.hpp"
+#include "suspects/suspect_server.hpp"
 
 using namespace anisehold;
-using namespace anisehold::poison;
+using namespace anisehold::suspects;
 
 namespace
 {
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE ("news read back as they were written, the worst suspects first", "[poison]")
+TEST_CASE ("news read back as they were written, the worst suspects first", "[suspects]")
 {
     const auto news = decodeCrashNews (encode (newsOf (filledLedger(), start + milliseconds (40))));
     REQUIRE (news);
@@ -47,14 +47,14 @@
     CHECK (news->cleared[0].ageMs == 40);
 }
 
-TEST_CASE ("suspects of one crash are told of for a short time, others longer", "[poison]")
+TEST_CASE ("suspects of one crash are told of for a short time, others longer", "[suspects]")
 {
     const auto news = newsOf (filledLedger(), start + weakSuspectsTold + milliseconds (1));
     REQUIRE (news.suspects.size() == 1);
     CHECK (news.suspects.front().numCrashes == 3);
 }
 
-TEST_CASE ("news are bounded, and greater ones are refused", "[poison]")
+TEST_CASE ("news are bounded, and greater ones are refused", "[suspects]")
 {
     CrashLedger ledger;
 
@@ -71,7 +71,7 @@
     CHECK_FALSE (decodeCrashNews (encode (news)));
 }
 
-TEST_CASE ("bytes that are no news are refused, whatever they are", "[poison]")
+TEST_CASE ("bytes that are no news are refused, whatever they are", "[suspects]")
 {
     const auto whole = encode (newsOf (filledLedger(), start));
     CHECK_FALSE (decodeCrashNews (""));
@@ -93,7 +93,7 @@
     }
 }
 
-TEST_CASE ("a verdict reads back from the store, and nothing else does", "[poison]")
+TEST_CASE ("a verdict reads back from the store, and nothing else does", "[suspects]")
 {
     const auto text = encode (StoredVerdict{ 3, 1'796'253'560'006, { shop, desk } });
     const auto verdict = decodeStoredVerdict (text);
@@ -107,7 +107,7 @@
     CHECK_FALSE (decodeStoredVerdict (refused));
 }
 
-TEST_CASE ("a few weak suspects run at once, and one strong one", "[poison]")
+TEST_CASE ("a few weak suspects run at once, and one strong one", "[suspects]")
 {
     SuspectLane lane;
 
@@ -127,7 +127,7 @@
     CHECK (mayBegin (lane, 1));
 }
 
-TEST_CASE ("all daemons send a suspect to the same server, and on to the same next one", "[poison]")
+TEST_CASE ("all daemons send a suspect to the same server, and on to the same next one", "[suspects]")
 {
     std::vector<membership::KnownServer> servers (5);
     membership::ServiceView here;
--- a/tests/unit/wire/datagram_golden_test.cpp
+++ b/tests/unit/wire/datagram_golden_test.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include "membership/peer_record.hpp"
-#include "poison/crash_news.hpp"
+#include "suspects/crash_news.hpp"
 #include "tenancy/tenancy_messages.hpp"
 #include "wire_samples.hpp"
 
@@ -36,8 +36,8 @@
     return record;
 }
 
-poison::CrashNews full_news() {
-    poison::CrashNews news;
+suspects::CrashNews full_news() {
+    suspects::CrashNews news;
     news.suspects = {{{0x0102030405060708, 0x1112131415161718}, 3, 4'005, {{0x2122232425262728}, {6}}},
                      {{7, 8}, 9, 10, {{11}}}};
     news.cleared = {{{0x3132333435363738, 0x4142434445464748}, 0x5152535455565758, 12'013}};
@@ -110,12 +110,13 @@
 }
 
 TEST_CASE("news of crashes keep their bytes", "[golden]") {
-    golden::check_dump("crash-news.txt",
-                       {{"every field set", encode(full_news())}, {"defaults", encode(poison::CrashNews{})}},
-                       [](const std::string& bytes) {
-                           const auto news = poison::decodeCrashNews(bytes);
-                           return news ? encode(*news) : "not decoded";
-                       });
+    golden::check_dump(
+        "crash-news.txt",
+        {{"every field set", encode(full_news())}, {"defaults", encode(suspects::CrashNews{})}},
+        [](const std::string& bytes) {
+            const auto news = suspects::decodeCrashNews(bytes);
+            return news ? encode(*news) : "not decoded";
+        });
 }
 
 TEST_CASE("messages about tenants keep their bytes", "[golden]") {
@@ -137,8 +138,8 @@
                                                   news.front() + "\ntenants " + tenants.front() + '\n');
     CHECK_FALSE(membership::decode_peer_record(news));
     CHECK_FALSE(membership::decode_peer_record(tenants));
-    CHECK_FALSE(poison::decodeCrashNews(record));
-    CHECK_FALSE(poison::decodeCrashNews(tenants));
+    CHECK_FALSE(suspects::decodeCrashNews(record));
+    CHECK_FALSE(suspects::decodeCrashNews(tenants));
     CHECK_FALSE(tenancy::decode(record));
     CHECK_FALSE(tenancy::decode(news));
 }
--- a/tests/unit/wire/store_golden_test.cpp
+++ b/tests/unit/wire/store_golden_test.cpp
@@ -2,11 +2,11 @@
 
 #include "claims/holder_view.hpp"
 #include "config/table.hpp"
-#include "poison/crash_news.hpp"
 #include "sidecar/crash_exchange.hpp"
 #include "sidecar/peer_exchange.hpp"
 #include "store/machine_list.hpp"
 #include "store/table_store.hpp"
+#include "suspects/crash_news.hpp"
 #include "wire_samples.hpp"
 
 using namespace anisehold;
@@ -203,16 +203,16 @@
 
 TEST_CASE("a verdict keeps its text and its key in the store", "[golden]") {
     const RequestDigest digest{0x0102030405060708, 0x1112131415161718};
-    const poison::StoredVerdict verdict{
+    const suspects::StoredVerdict verdict{
         3, 1'796'253'560'006, {CallerDigest(0xfedcba9876543210), CallerDigest(4)}};
     golden::check_text("stored-verdict.txt",
                        {{std::string(sidecar::kVerdictPrefix) + digest.text(), encode(verdict)},
-                        {"one caller", encode(poison::StoredVerdict{0, 0, {CallerDigest(0)}})}},
+                        {"one caller", encode(suspects::StoredVerdict{0, 0, {CallerDigest(0)}})}},
                        [](const std::string& text) {
-                           const auto read = poison::decodeStoredVerdict(text);
+                           const auto read = suspects::decodeStoredVerdict(text);
                            return read ? encode(*read) : "not read";
                        });
-    const auto read = poison::decodeStoredVerdict(golden::texts_in("stored-verdict.txt").front().bytes);
+    const auto read = suspects::decodeStoredVerdict(golden::texts_in("stored-verdict.txt").front().bytes);
     REQUIRE(read);
     CHECK(read->numCrashes == 3);
     CHECK(read->latestUnixMs == 1'796'253'560'006);
