--- a/src/sidecar/call_attempts.cpp
+++ b/src/sidecar/call_attempts.cpp
@@ -200,7 +200,7 @@
         if (outcome == AttemptOutcome::kAnswered || outcome == AttemptOutcome::kFailedAnswer) {
             crashes_.on_answered(call.identity);
         } else {
-            crashes_.on_told(call.identity, result.crashes);
+            crashes_.on_reported_crashes(call.identity, result.crashes);
         }
         const bool answered = attempt->answer.response.has_value();
         if (outcome == AttemptOutcome::kAnswered || (answered && !flight.best)) {
--- a/src/sidecar/crash_exchange.cpp
+++ b/src/sidecar/crash_exchange.cpp
@@ -86,7 +86,7 @@
     changed_.give();
 }
 
-void CrashExchange::on_told(const RequestIdentity& request, unsigned crashes) {
+void CrashExchange::on_reported_crashes(const RequestIdentity& request, unsigned crashes) {
     // What is known already may be another caller's alone: told again it would count as this one's.
     if (crashes > crashes_of(TimePoint::clock::now(), request)) {
         raise(request, crashes, Duration::zero(), "daemon");
@@ -117,13 +117,13 @@
     return true;
 }
 
-void CrashExchange::on_news(const suspects::CrashNews& news) {
+void CrashExchange::on_report(const suspects::CrashReport& report) {
     const auto now = TimePoint::clock::now();
-    for (const auto& each : news.cleared) {
+    for (const auto& each : report.cleared) {
         suspects::noteCleared(ledger_, now, {each.digest, CallerDigest(each.caller)},
                               milliseconds(each.ageMs));
     }
-    for (const auto& each : news.suspects) {
+    for (const auto& each : report.suspects) {
         for (const auto& it : each.callers) {
             raise({each.digest, CallerDigest(it.caller)}, each.numCrashes, milliseconds(each.ageMs), "peer");
         }
@@ -132,9 +132,9 @@
 }
 
 void CrashExchange::on_peer_appeared(const Endpoint& gossip) {
-    const auto news = suspects::newsOf(ledger_, TimePoint::clock::now());
-    if (!news.empty()) {
-        send_(gossip, encode(news));
+    const auto report = suspects::reportOf(ledger_, TimePoint::clock::now());
+    if (!report.empty()) {
+        send_(gossip, encode(report));
     }
 }
 
@@ -162,11 +162,11 @@
 }
 
 void CrashExchange::tell_all() {
-    const auto news = suspects::newsOf(ledger_, TimePoint::clock::now());
-    if (news.empty()) {
+    const auto report = suspects::reportOf(ledger_, TimePoint::clock::now());
+    if (report.empty()) {
         return;
     }
-    const auto bytes = encode(news);
+    const auto bytes = encode(report);
     for (const auto& peer : directory_.addresses()) {
         send_(peer.gossip, bytes);
     }
--- a/src/sidecar/crash_exchange.hpp
+++ b/src/sidecar/crash_exchange.hpp
@@ -12,7 +12,7 @@
 #include "sidecar/sidecar_context.hpp"
 #include "store/coordination_store.hpp"
 #include "suspects/crash_ledger.hpp"
-#include "suspects/crash_news.hpp"
+#include "suspects/crash_report.hpp"
 
 namespace anisehold::sidecar {
 
@@ -53,10 +53,10 @@
     /// The server beside crashed with these running.
     void on_crash(const std::vector<suspects::CrashedRun>& runs);
     /// A gate told so many crashes of a request with its result.
-    void on_told(const RequestIdentity& request, unsigned crashes);
+    void on_reported_crashes(const RequestIdentity& request, unsigned crashes);
     /// A server gave the request a whole answer.
     void on_answered(const RequestIdentity& request);
-    void on_news(const suspects::CrashNews& news);
+    void on_report(const suspects::CrashReport& report);
     /// A peer has just started, or was cut off: it is told everything.
     void on_peer_appeared(const Endpoint& gossip);
     /// Items of the store below `kVerdictPrefix`; `may_remove`: this daemon clears away those that are over.
--- a/src/sidecar/local_gate.cpp
+++ b/src/sidecar/local_gate.cpp
@@ -196,7 +196,7 @@
     if (++in_flight_ == 1) {
         context_.origins.on_server(arrived, true);
     }
-    crashes_.on_told(identity, call.crashes);
+    crashes_.on_reported_crashes(identity, call.crashes);
     std::optional<GateAnswer> refused;
     const auto turn = take_turn(*server, identity, call, arrived, cancel);
     if (crashes_.is_condemned(TimePoint::clock::now(), identity)) {
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -225,8 +225,8 @@
 }
 
 bool Sidecar::receive_message(std::string_view bytes) {
-    if (const auto news = suspects::decodeCrashNews(bytes)) {
-        parts_->crashes.on_news(*news);
+    if (const auto report = suspects::decodeCrashReport(bytes)) {
+        parts_->crashes.on_report(*report);
         return true;
     }
     const auto message = tenancy::decode(bytes);
--- a/src/sidecar/suspect_queue.cpp
+++ b/src/sidecar/suspect_queue.cpp
@@ -27,8 +27,8 @@
         if (known == 0) {
             return Turn();
         }
-        if (suspects::mayBegin(lane_, known)) {
-            suspects::noteBegan(lane_, known);
+        if (suspects::mayBegin(slots_, known)) {
+            suspects::noteBegan(slots_, known);
             return Turn(*this, known);
         }
         const auto now = TimePoint::clock::now();
@@ -43,7 +43,7 @@
 }
 
 void SuspectQueue::leave(unsigned crashes) {
-    suspects::noteEnded(lane_, crashes);
+    suspects::noteEnded(slots_, crashes);
     for (auto* waiting : waiting_) {
         waiting->set();
     }
--- a/src/sidecar/suspect_queue.hpp
+++ b/src/sidecar/suspect_queue.hpp
@@ -9,7 +9,7 @@
 #include "net/fiber_event.hpp"
 #include "net/http_types.hpp"
 #include "protocol/time_types.hpp"
-#include "suspects/suspect_lane.hpp"
+#include "suspects/suspect_slots.hpp"
 
 namespace anisehold::sidecar {
 
@@ -39,7 +39,7 @@
   private:
     void leave(unsigned crashes);
 
-    suspects::SuspectLane lane_;
+    suspects::SuspectSlots slots_;
     std::list<net::FiberEvent*> waiting_;
 };
 
--- a/src/suspects/crash_news.cpp
+++ b/src/suspects/crash_report.cpp
@@ -1,4 +1,4 @@
-#include "suspects/crash_news.hpp"
+#include "suspects/crash_report.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -18,7 +18,7 @@
     return static_cast<std::uint32_t> (std::max (0LL, to_milliseconds (now - then)));
 }
 
-bool isMoreWorthTelling (const SuspectNews& left, const SuspectNews& right)
+bool isMoreWorthTelling (const SuspectEntry& left, const SuspectEntry& right)
 {
     return left.numCrashes != right.numCrashes ? left.numCrashes > right.numCrashes
                                                : left.ageMs < right.ageMs;
@@ -43,53 +43,53 @@
 
 } // namespace
 
-CrashNews newsOf (const CrashLedger& ledger, TimePoint now)
+CrashReport reportOf (const CrashLedger& ledger, TimePoint now)
 {
-    CrashNews news;
+    CrashReport report;
 
     for (const auto& [digest, suspect] : ledger.suspects)
     {
-        if (suspect.numCrashes < crashesToIsolate && now - suspect.latest > weakSuspectsTold)
+        if (suspect.numCrashes < crashesToIsolate && now - suspect.latest > weakSuspectsReported)
             continue;
 
-        SuspectNews it{ digest, suspect.numCrashes, ageMs (now, suspect.latest), {} };
+        SuspectEntry it{ digest, suspect.numCrashes, ageMs (now, suspect.latest), {} };
 
         for (const auto& caller : suspect.callers)
             it.callers.push_back ({ caller.value });
 
-        news.suspects.push_back (std::move (it));
+        report.suspects.push_back (std::move (it));
     }
 
     for (const auto& [request, answered] : ledger.cleared)
-        news.cleared.push_back ({ request.digest, request.caller.value, ageMs (now, answered) });
-
-    std::sort (news.suspects.begin(), news.suspects.end(), isMoreWorthTelling);
-    std::sort (news.cleared.begin(), news.cleared.end(),
-               [] (const ClearedNews& left, const ClearedNews& right) { return left.ageMs < right.ageMs; });
-    news.suspects.resize (std::min (news.suspects.size(), mostNews));
-    news.cleared.resize (std::min (news.cleared.size(), mostNews));
-    return news;
+        report.cleared.push_back ({ request.digest, request.caller.value, ageMs (now, answered) });
+
+    std::sort (report.suspects.begin(), report.suspects.end(), isMoreWorthTelling);
+    std::sort (report.cleared.begin(), report.cleared.end(),
+               [] (const ClearedEntry& left, const ClearedEntry& right) { return left.ageMs < right.ageMs; });
+    report.suspects.resize (std::min (report.suspects.size(), mostReported));
+    report.cleared.resize (std::min (report.cleared.size(), mostReported));
+    return report;
 }
 
-std::string encode (const CrashNews& news)
+std::string encode (const CrashReport& report)
 {
-    return layout + archive_bytes (news);
+    return layout + archive_bytes (report);
 }
 
-std::optional<CrashNews> decodeCrashNews (std::string_view bytes)
+std::optional<CrashReport> decodeCrashReport (std::string_view bytes)
 {
     if (bytes.empty() || bytes.front() != layout)
         return std::nullopt;
 
-    auto news = unarchive_bytes<CrashNews> (bytes.substr (1));
+    auto report = unarchive_bytes<CrashReport> (bytes.substr (1));
 
-    const auto hasTooManyCallers = [] (const SuspectNews& it) { return it.callers.size() > callersForAll; };
+    const auto hasTooManyCallers = [] (const SuspectEntry& it) { return it.callers.size() > callersForAll; };
 
-    if (! news || news->suspects.size() > mostNews || news->cleared.size() > mostNews ||
-        std::any_of (news->suspects.begin(), news->suspects.end(), hasTooManyCallers))
+    if (! report || report->suspects.size() > mostReported || report->cleared.size() > mostReported ||
+        std::any_of (report->suspects.begin(), report->suspects.end(), hasTooManyCallers))
         return std::nullopt;
 
-    return news;
+    return report;
 }
 
 std::string encode (const StoredVerdict& verdict)
--- a/src/suspects/crash_news.hpp
+++ b/src/suspects/crash_report.hpp
@@ -16,7 +16,7 @@
 {
 
 /** One caller. A struct, since the archives write and read bare vectors of numbers in two ways. */
-struct CallerNews
+struct CallerEntry
 {
     std::uint64_t caller = 0;
 
@@ -28,12 +28,12 @@
 };
 
 /** One suspect. */
-struct SuspectNews
+struct SuspectEntry
 {
     RequestDigest digest;
     std::uint32_t numCrashes = 0;
     std::uint32_t ageMs = 0; /**< Of the latest crash. */
-    std::vector<CallerNews> callers;
+    std::vector<CallerEntry> callers;
 
     template <typename Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -43,7 +43,7 @@
 };
 
 /** One caller's request that is a suspect no more. */
-struct ClearedNews
+struct ClearedEntry
 {
     RequestDigest digest;
     std::uint64_t caller = 0;
@@ -56,10 +56,10 @@
     }
 };
 
-struct CrashNews
+struct CrashReport
 {
-    std::vector<SuspectNews> suspects;
-    std::vector<ClearedNews> cleared;
+    std::vector<SuspectEntry> suspects;
+    std::vector<ClearedEntry> cleared;
 
     bool empty() const { return suspects.empty() && cleared.empty(); }
 
@@ -73,18 +73,18 @@
 /** Most suspects, and most cleared requests, of one message: 40 and 28 bytes each for one caller, some 9 KB,
  * worked out.
  */
-inline constexpr std::size_t mostNews = 128;
+inline constexpr std::size_t mostReported = 128;
 
 /** How long suspects of one crash are told of. All peers were told at once, and twice; nearly all of these
    are harmless and don't come again, and a server may leave a hundred, 4 KB in each message. */
-inline constexpr seconds weakSuspectsTold{ 10 };
+inline constexpr seconds weakSuspectsReported{ 10 };
 
 /** What of the ledger is worth telling: those with the most crashes first, then the latest. */
-CrashNews newsOf (const CrashLedger&, TimePoint now);
+CrashReport reportOf (const CrashLedger&, TimePoint now);
 
-std::string encode (const CrashNews&);
+std::string encode (const CrashReport&);
 /** Nothing if the bytes aren't such a message. */
-std::optional<CrashNews> decodeCrashNews (std::string_view);
+std::optional<CrashReport> decodeCrashReport (std::string_view);
 
 /** A verdict as it lies in the store: the number of crashes, the Unix time of the latest, in milliseconds,
    and the callers, as decimal numbers with a blank between. */
--- a/src/suspects/suspect_lane.hpp
+++ b/src/suspects/suspect_slots.hpp
@@ -19,27 +19,27 @@
 inline constexpr unsigned mostWeakSuspects = 4;
 
 /** What runs now. */
-struct SuspectLane
+struct SuspectSlots
 {
     unsigned numWeak = 0;
     unsigned numStrong = 0; /**< Those that met two crashes or more. */
 };
 
 /** Whether a suspect with so many crashes may begin. */
-inline bool mayBegin (const SuspectLane& lane, unsigned numCrashes)
+inline bool mayBegin (const SuspectSlots& slots, unsigned numCrashes)
 {
-    return numCrashes >= crashesToIsolate ? lane.numStrong == 0 : lane.numWeak < mostWeakSuspects;
+    return numCrashes >= crashesToIsolate ? slots.numStrong == 0 : slots.numWeak < mostWeakSuspects;
 }
 
-inline void noteBegan (SuspectLane& lane, unsigned numCrashes)
+inline void noteBegan (SuspectSlots& slots, unsigned numCrashes)
 {
-    ++(numCrashes >= crashesToIsolate ? lane.numStrong : lane.numWeak);
+    ++(numCrashes >= crashesToIsolate ? slots.numStrong : slots.numWeak);
 }
 
 /** `numCrashes` as it was when the suspect began. */
-inline void noteEnded (SuspectLane& lane, unsigned numCrashes)
+inline void noteEnded (SuspectSlots& slots, unsigned numCrashes)
 {
-    auto& count = numCrashes >= crashesToIsolate ? lane.numStrong : lane.numWeak;
+    auto& count = numCrashes >= crashesToIsolate ? slots.numStrong : slots.numWeak;
     count -= std::min (count, 1U);
 }
 
--- a/tests/incidents/crash_model.cpp
+++ b/tests/incidents/crash_model.cpp
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "suspects/crash_ledger.hpp"
-#include "suspects/suspect_lane.hpp"
 #include "suspects/suspect_server.hpp"
+#include "suspects/suspect_slots.hpp"
 
 namespace anisehold::model
 {
@@ -63,7 +63,7 @@
     std::string name;
     bool isUp = true;
     std::vector<Run> runs;
-    suspects::SuspectLane lane;
+    suspects::SuspectSlots slots;
     std::deque<RequestPtr> waiting;
 };
 
@@ -235,10 +235,10 @@
 
         if (crashes > 0 && ways.limitsSuspects)
         {
-            if (! suspects::mayBegin (server.lane, crashes))
+            if (! suspects::mayBegin (server.slots, crashes))
                 return server.waiting.push_back (request);
 
-            suspects::noteBegan (server.lane, crashes);
+            suspects::noteBegan (server.slots, crashes);
         }
 
         const auto id = ++lastRun;
@@ -263,7 +263,7 @@
 
         const auto run = *it;
         server.runs.erase (it);
-        leaveLane (server, run);
+        leaveSlots (server, run);
         run.request->isOver = true;
         result.longest = std::max (result.longest, now - run.request->began);
 
@@ -272,12 +272,12 @@
                   { suspects::noteCleared (ledger, now, identity, {}); });
     }
 
-    void leaveLane (Server& server, const Run& run)
+    void leaveSlots (Server& server, const Run& run)
     {
         if (run.crashesBefore == 0 || ! ways.limitsSuspects)
             return;
 
-        suspects::noteEnded (server.lane, run.crashesBefore);
+        suspects::noteEnded (server.slots, run.crashesBefore);
         auto waiting = std::move (server.waiting);
         server.waiting.clear();
 
@@ -286,16 +286,16 @@
     }
 
     /** At once to the daemon itself, later to the others. */
-    void tell (std::size_t from, const std::function<void (CrashLedger&)>& news)
+    void tell (std::size_t from, const std::function<void (CrashLedger&)>& report)
     {
-        news (ledgers[from]);
+        report (ledgers[from]);
         after (ways.telling,
-               [this, from, news]
+               [this, from, report]
                {
                    for (std::size_t n = 0; n < numDaemons; ++n)
                    {
                        if (n != from)
-                           news (ledgers[n]);
+                           report (ledgers[n]);
                    }
                });
     }
@@ -310,7 +310,7 @@
         const auto waiting = std::move (server.waiting);
         server.runs.clear();
         server.waiting.clear();
-        server.lane = {};
+        server.slots = {};
         after (downTime, [&server] { server.isUp = true; });
         std::vector<CrashedRun> crashed;
 
--- a/tests/unit/suspects/crash_news_test.cpp
+++ b/tests/unit/suspects/crash_report_test.cpp
@@ -1,10 +1,10 @@
-#include "suspects/crash_news.hpp"
+#include "suspects/crash_report.hpp"
 
 #include <catch2/catch.hpp>
 #include <random>
 
-#include "suspects/suspect_lane.hpp"
 #include "suspects/suspect_server.hpp"
+#include "suspects/suspect_slots.hpp"
 
 using namespace anisehold;
 using namespace anisehold::suspects;
@@ -30,55 +30,55 @@
 
 TEST_CASE ("news read back as they were written, the worst suspects first", "[suspects]")
 {
-    const auto news = decodeCrashNews (encode (newsOf (filledLedger(), start + milliseconds (40))));
-    REQUIRE (news);
-    REQUIRE (news->suspects.size() == 2);
-    const auto& worst = news->suspects.front();
+    const auto report = decodeCrashReport (encode (reportOf (filledLedger(), start + milliseconds (40))));
+    REQUIRE (report);
+    REQUIRE (report->suspects.size() == 2);
+    const auto& worst = report->suspects.front();
     CHECK (worst.digest == RequestDigest{ 2, 2 });
     CHECK (worst.numCrashes == 3);
     CHECK (worst.ageMs == 40);
     REQUIRE (worst.callers.size() == 2);
     CHECK (worst.callers[0].caller == shop.value);
     CHECK (worst.callers[1].caller == desk.value);
-    CHECK (news->suspects[1].callers.size() == 1);
-    REQUIRE (news->cleared.size() == 1);
-    CHECK (news->cleared[0].digest == RequestDigest{ 3, 3 });
-    CHECK (news->cleared[0].caller == desk.value);
-    CHECK (news->cleared[0].ageMs == 40);
+    CHECK (report->suspects[1].callers.size() == 1);
+    REQUIRE (report->cleared.size() == 1);
+    CHECK (report->cleared[0].digest == RequestDigest{ 3, 3 });
+    CHECK (report->cleared[0].caller == desk.value);
+    CHECK (report->cleared[0].ageMs == 40);
 }
 
 TEST_CASE ("suspects of one crash are told of for a short time, others longer", "[suspects]")
 {
-    const auto news = newsOf (filledLedger(), start + weakSuspectsTold + milliseconds (1));
-    REQUIRE (news.suspects.size() == 1);
-    CHECK (news.suspects.front().numCrashes == 3);
+    const auto report = reportOf (filledLedger(), start + weakSuspectsReported + milliseconds (1));
+    REQUIRE (report.suspects.size() == 1);
+    CHECK (report.suspects.front().numCrashes == 3);
 }
 
 TEST_CASE ("news are bounded, and greater ones are refused", "[suspects]")
 {
     CrashLedger ledger;
 
-    for (std::uint64_t n = 0; n < 2 * mostNews; ++n)
+    for (std::uint64_t n = 0; n < 2 * mostReported; ++n)
         noteCrashes (ledger, start, { { 1, n }, shop }, 1);
 
-    auto news = newsOf (ledger, start);
-    CHECK (news.suspects.size() == mostNews);
-    CHECK (decodeCrashNews (encode (news)));
-    news.suspects.push_back (news.suspects.front());
-    CHECK_FALSE (decodeCrashNews (encode (news)));
-    news = newsOf (filledLedger(), start);
-    news.suspects.front().callers.push_back ({ 9 });
-    CHECK_FALSE (decodeCrashNews (encode (news)));
+    auto report = reportOf (ledger, start);
+    CHECK (report.suspects.size() == mostReported);
+    CHECK (decodeCrashReport (encode (report)));
+    report.suspects.push_back (report.suspects.front());
+    CHECK_FALSE (decodeCrashReport (encode (report)));
+    report = reportOf (filledLedger(), start);
+    report.suspects.front().callers.push_back ({ 9 });
+    CHECK_FALSE (decodeCrashReport (encode (report)));
 }
 
 TEST_CASE ("bytes that are no news are refused, whatever they are", "[suspects]")
 {
-    const auto whole = encode (newsOf (filledLedger(), start));
-    CHECK_FALSE (decodeCrashNews (""));
-    CHECK_FALSE (decodeCrashNews ("T" + whole.substr (1)));
+    const auto whole = encode (reportOf (filledLedger(), start));
+    CHECK_FALSE (decodeCrashReport (""));
+    CHECK_FALSE (decodeCrashReport ("T" + whole.substr (1)));
 
     for (std::size_t n = 1; n < whole.size(); ++n)
-        CHECK_FALSE (decodeCrashNews (whole.substr (0, n)));
+        CHECK_FALSE (decodeCrashReport (whole.substr (0, n)));
 
     std::mt19937 random (1);
 
@@ -87,9 +87,9 @@
         auto spoiled = whole;
         const auto at = std::uniform_int_distribution<std::size_t> (1, whole.size() - 1) (random);
         spoiled[at] = static_cast<char> (random());
-        const auto news = decodeCrashNews (spoiled);
+        const auto report = decodeCrashReport (spoiled);
         // What can't be told from news is still within the bounds.
-        CHECK ((! news || news->suspects.size() <= mostNews));
+        CHECK ((! report || report->suspects.size() <= mostReported));
     }
 }
 
@@ -109,22 +109,22 @@
 
 TEST_CASE ("a few weak suspects run at once, and one strong one", "[suspects]")
 {
-    SuspectLane lane;
+    SuspectSlots slots;
 
     for (unsigned n = 0; n < mostWeakSuspects; ++n)
     {
-        CHECK (mayBegin (lane, 1));
-        noteBegan (lane, 1);
+        CHECK (mayBegin (slots, 1));
+        noteBegan (slots, 1);
     }
 
-    CHECK_FALSE (mayBegin (lane, 1));
-    CHECK (mayBegin (lane, 2));
-    noteBegan (lane, 2);
-    CHECK_FALSE (mayBegin (lane, 3));
-    noteEnded (lane, 2);
-    CHECK (mayBegin (lane, 3));
-    noteEnded (lane, 1);
-    CHECK (mayBegin (lane, 1));
+    CHECK_FALSE (mayBegin (slots, 1));
+    CHECK (mayBegin (slots, 2));
+    noteBegan (slots, 2);
+    CHECK_FALSE (mayBegin (slots, 3));
+    noteEnded (slots, 2);
+    CHECK (mayBegin (slots, 3));
+    noteEnded (slots, 1);
+    CHECK (mayBegin (slots, 1));
 }
 
 TEST_CASE ("all daemons send a suspect to the same server, and on to the same next one", "[suspects]")
--- a/tests/unit/wire/datagram_golden_test.cpp
+++ b/tests/unit/wire/datagram_golden_test.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include "membership/peer_record.hpp"
-#include "suspects/crash_news.hpp"
+#include "suspects/crash_report.hpp"
 #include "tenancy/tenancy_messages.hpp"
 #include "wire_samples.hpp"
 
@@ -36,12 +36,12 @@
     return record;
 }
 
-suspects::CrashNews full_news() {
-    suspects::CrashNews news;
-    news.suspects = {{{0x0102030405060708, 0x1112131415161718}, 3, 4'005, {{0x2122232425262728}, {6}}},
-                     {{7, 8}, 9, 10, {{11}}}};
-    news.cleared = {{{0x3132333435363738, 0x4142434445464748}, 0x5152535455565758, 12'013}};
-    return news;
+suspects::CrashReport full_news() {
+    suspects::CrashReport report;
+    report.suspects = {{{0x0102030405060708, 0x1112131415161718}, 3, 4'005, {{0x2122232425262728}, {6}}},
+                       {{7, 8}, 9, 10, {{11}}}};
+    report.cleared = {{{0x3132333435363738, 0x4142434445464748}, 0x5152535455565758, 12'013}};
+    return report;
 }
 
 tenancy::Asker full_asker() {
@@ -112,10 +112,10 @@
 TEST_CASE("news of crashes keep their bytes", "[golden]") {
     golden::check_dump(
         "crash-news.txt",
-        {{"every field set", encode(full_news())}, {"defaults", encode(suspects::CrashNews{})}},
+        {{"every field set", encode(full_news())}, {"defaults", encode(suspects::CrashReport{})}},
         [](const std::string& bytes) {
-            const auto news = suspects::decodeCrashNews(bytes);
-            return news ? encode(*news) : "not decoded";
+            const auto report = suspects::decodeCrashReport(bytes);
+            return report ? encode(*report) : "not decoded";
         });
 }
 
@@ -132,14 +132,14 @@
 
 TEST_CASE("datagrams of one port are told apart by their first byte", "[golden]") {
     const auto record = encode(full_record());
-    const auto news = encode(full_news());
+    const auto report = encode(full_news());
     const auto tenants = tenancy::encode(kTenancyMessages.front());
     golden::check("datagram-first-bytes.txt", std::string("peer record ") + record.front() + "\ncrash news " +
-                                                  news.front() + "\ntenants " + tenants.front() + '\n');
-    CHECK_FALSE(membership::decode_peer_record(news));
+                                                  report.front() + "\ntenants " + tenants.front() + '\n');
+    CHECK_FALSE(membership::decode_peer_record(report));
     CHECK_FALSE(membership::decode_peer_record(tenants));
-    CHECK_FALSE(suspects::decodeCrashNews(record));
-    CHECK_FALSE(suspects::decodeCrashNews(tenants));
+    CHECK_FALSE(suspects::decodeCrashReport(record));
+    CHECK_FALSE(suspects::decodeCrashReport(tenants));
     CHECK_FALSE(tenancy::decode(record));
-    CHECK_FALSE(tenancy::decode(news));
+    CHECK_FALSE(tenancy::decode(report));
 }
--- a/tests/unit/wire/store_golden_test.cpp
+++ b/tests/unit/wire/store_golden_test.cpp
@@ -6,7 +6,7 @@
 #include "sidecar/peer_exchange.hpp"
 #include "store/machine_list.hpp"
 #include "store/table_store.hpp"
-#include "suspects/crash_news.hpp"
+#include "suspects/crash_report.hpp"
 #include "wire_samples.hpp"
 
 using namespace anisehold;
