--- a/src/sidecar/call_ingress.cpp
+++ b/src/sidecar/call_ingress.cpp
@@ -59,13 +59,13 @@
 }  // namespace
 
 CallIngress::CallIngress(SidecarContext& context, ConfigurationHolder& configuration,
-                         membership::PeerDirectory& directory, LocalGate& gate, FreshnessKeeper& freshness,
+                         membership::PeerDirectory& directory, LocalGate& gate, ProofKeeper& proofs,
                          QuotaExchange& quotas, CrashExchange& crashes)
     : context_(context),
       configuration_(configuration),
       directory_(directory),
       gate_(gate),
-      freshness_(freshness),
+      proofs_(proofs),
       quotas_(quotas),
       crashes_(crashes),
       hops_(context, directory),
@@ -142,8 +142,8 @@
         return std::nullopt;
     }
     call.hides_key = true;
-    const tenancy::CallerRules rules{call.terms.allows_anonymous, freshness_.longest_age()};
-    const auto verdict = tenancy::judgeCaller(configuration.keys, freshness_.state(), call.received,
+    const tenancy::CallerRules rules{call.terms.allows_anonymous, proofs_.longest_age()};
+    const auto verdict = tenancy::judgeCaller(configuration.keys, proofs_.state(), call.received,
                                               context_.dialect.read_credentials(request), rules);
     switch (verdict.admission) {
         case tenancy::Admission::unauthorized:
--- a/src/sidecar/call_ingress.hpp
+++ b/src/sidecar/call_ingress.hpp
@@ -15,9 +15,9 @@
 #include "selection/server_selection.hpp"
 #include "sidecar/configuration_holder.hpp"
 #include "sidecar/crash_exchange.hpp"
-#include "sidecar/freshness_keeper.hpp"
 #include "sidecar/hop_client.hpp"
 #include "sidecar/local_gate.hpp"
+#include "sidecar/proof_keeper.hpp"
 #include "sidecar/quota_exchange.hpp"
 #include "sidecar/sidecar_context.hpp"
 
@@ -27,7 +27,7 @@
 class CallIngress {
   public:
     CallIngress(SidecarContext& context, ConfigurationHolder& configuration,
-                membership::PeerDirectory& directory, LocalGate& gate, FreshnessKeeper& freshness,
+                membership::PeerDirectory& directory, LocalGate& gate, ProofKeeper& proofs,
                 QuotaExchange& quotas, CrashExchange& crashes);
 
     /// Answers one request; blocks its fiber until then.
@@ -124,7 +124,7 @@
     ConfigurationHolder& configuration_;
     membership::PeerDirectory& directory_;
     LocalGate& gate_;
-    FreshnessKeeper& freshness_;
+    ProofKeeper& proofs_;
     QuotaExchange& quotas_;
     CrashExchange& crashes_;
     HopClient hops_;
--- a/src/sidecar/crash_exchange.cpp
+++ b/src/sidecar/crash_exchange.cpp
@@ -225,7 +225,7 @@
 }
 
 void CrashExchange::remove_verdict(const RequestDigest& digest) {
-    const auto found = store_.read(verdict_key(digest), store::Freshness::kLatest, store_call_deadline());
+    const auto found = store_.read(verdict_key(digest), store::ReadMode::kLatest, store_call_deadline());
     auto outcome = found.outcome;
     if (outcome == store::CallOutcome::kDone) {
         outcome = store_.remove(verdict_key(digest), found.item.revision, store_call_deadline()).outcome;
--- a/src/sidecar/freshness_keeper.cpp
+++ b/src/sidecar/proof_keeper.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/freshness_keeper.hpp"
+#include "sidecar/proof_keeper.hpp"
 
 #include <algorithm>
 #include <boost/fiber/operations.hpp>
@@ -39,19 +39,19 @@
 
 }  // namespace
 
-void FreshnessKeeper::start(Send send) {
+void ProofKeeper::start(Send send) {
     send_ = std::move(send);
     patience_ = context_.random_unit();
     net::EventLoop::spawn([this] { read_periodically(); });
     net::EventLoop::spawn([this] { ask_periodically(); });
 }
 
-bool FreshnessKeeper::is_needed() const {
+bool ProofKeeper::is_needed() const {
     const auto configuration = configuration_.current();
     return longest_age() && configuration && configuration->has_tenants();
 }
 
-std::optional<Duration> FreshnessKeeper::longest_age() const {
+std::optional<Duration> ProofKeeper::longest_age() const {
     const auto revocation = context_.settings.key_revocation;
     if (revocation <= milliseconds(0) || !context_.has(config::Mechanism::kKeyProof)) {
         return std::nullopt;
@@ -59,11 +59,11 @@
     return tenancy::longestProofAge(revocation);
 }
 
-Duration FreshnessKeeper::age_or_longest(TimePoint now) const {
+Duration ProofKeeper::age_or_longest(TimePoint now) const {
     return tenancy::proofAge(state_, now).value_or(Duration::max());
 }
 
-Duration FreshnessKeeper::own_read_age() const {
+Duration ProofKeeper::own_read_age() const {
     if (context_.watches_store) {
         const std::chrono::duration<double> spread = kVoucherReadSpread * patience_;
         return kVoucherReadAge + std::chrono::duration_cast<Duration>(spread);
@@ -74,7 +74,7 @@
     return kOwnReadAge + std::chrono::duration_cast<Duration>(spread);
 }
 
-void FreshnessKeeper::read_periodically() {
+void ProofKeeper::read_periodically() {
     while (true) {
         const auto now = TimePoint::clock::now();
         const bool is_due = is_needed() && age_or_longest(now) >= own_read_age();
@@ -100,10 +100,10 @@
     }
 }
 
-bool FreshnessKeeper::read_once() {
+bool ProofKeeper::read_once() {
     const auto asked = TimePoint::clock::now();
     const auto reply =
-        store_.read(context_.dialect.configuration_key(), store::Freshness::kLatest, asked + kReadTimeout);
+        store_.read(context_.dialect.configuration_key(), store::ReadMode::kLatest, asked + kReadTimeout);
     if (reply.outcome != CallOutcome::kDone) {
         return false;
     }
@@ -117,12 +117,12 @@
     return true;
 }
 
-void FreshnessKeeper::on_read(TimePoint asked, std::uint64_t revision) {
+void ProofKeeper::on_read(TimePoint asked, std::uint64_t revision) {
     read_revision_ = std::max(read_revision_, revision);
     tenancy::noteProof(state_, asked);
 }
 
-void FreshnessKeeper::ask_periodically() {
+void ProofKeeper::ask_periodically() {
     while (true) {
         const auto age = age_or_longest(TimePoint::clock::now());
         const bool is_old = age >= kOldProof;
@@ -136,7 +136,7 @@
     }
 }
 
-void FreshnessKeeper::ask_peer() {
+void ProofKeeper::ask_peer() {
     const auto now = TimePoint::clock::now();
     const auto members = directory_.members(now);
     const bool is_old = age_or_longest(now) >= kOldProof;
@@ -158,31 +158,31 @@
     }
     const auto chosen =
         static_cast<std::size_t>(context_.random_unit() * static_cast<double>(vouchers.size()));
-    const tenancy::ProofQuestion question{
+    const tenancy::ProofRequest question{
         {context_.settings.advertised_gossip, context_.boot_id, tenancy::clockReading(now)}};
     send_(vouchers[chosen]->gossip, tenancy::encode(question));
 }
 
-void FreshnessKeeper::on_question(const tenancy::ProofQuestion& question) {
+void ProofKeeper::on_question(const tenancy::ProofRequest& question) {
     const auto age = tenancy::proofAge(state_, TimePoint::clock::now());
     if (!age || configuration_.version() == 0) {
         return;
     }
-    tenancy::ProofAnswer answer;
-    answer.asker = question.asker;
+    tenancy::ProofReply answer;
+    answer.requester = question.requester;
     answer.version = configuration_.version();
     // Rounded up: on the way an age only grows.
     answer.ageMs = static_cast<std::uint32_t>(std::min(to_milliseconds(*age) + 1, 3'600'000LL));
-    send_(question.asker.replyTo, tenancy::encode(answer));
+    send_(question.requester.replyTo, tenancy::encode(answer));
 }
 
-void FreshnessKeeper::on_answer(const tenancy::ProofAnswer& answer) {
-    const bool is_own = answer.asker.bootId == context_.boot_id;
+void ProofKeeper::on_answer(const tenancy::ProofReply& answer) {
+    const bool is_own = answer.requester.bootId == context_.boot_id;
     // Of a newer version this daemon knows nothing yet: records bring it.
     if (!is_own || answer.version > configuration_.version()) {
         return;
     }
-    tenancy::noteProof(state_, tenancy::askedAt(answer.asker), milliseconds(answer.ageMs));
+    tenancy::noteProof(state_, tenancy::sentAt(answer.requester), milliseconds(answer.ageMs));
 }
 
 }  // namespace anisehold::sidecar
--- a/src/sidecar/freshness_keeper.hpp
+++ b/src/sidecar/proof_keeper.hpp
@@ -10,7 +10,7 @@
 #include "sidecar/configuration_holder.hpp"
 #include "sidecar/sidecar_context.hpp"
 #include "store/coordination_store.hpp"
-#include "tenancy/freshness.hpp"
+#include "tenancy/configuration_proof.hpp"
 #include "tenancy/tenancy_messages.hpp"
 
 namespace anisehold::sidecar {
@@ -18,23 +18,23 @@
 /// The watchers of each zone read the configuration's revision from the store about once a second between
 /// them; the others ask a watcher, and read themselves when their proof grows old all the same. A waiting
 /// watch proves nothing: the store may have fallen silent, or hear nothing itself.
-class FreshnessKeeper {
+class ProofKeeper {
   public:
     using Send = std::function<void(const Endpoint& to, std::string_view bytes)>;
 
-    FreshnessKeeper(SidecarContext& context, store::CoordinationStore& store,
-                    ConfigurationHolder& configuration, membership::PeerDirectory& directory)
+    ProofKeeper(SidecarContext& context, store::CoordinationStore& store, ConfigurationHolder& configuration,
+                membership::PeerDirectory& directory)
         : context_(context), store_(store), configuration_(configuration), directory_(directory) {}
 
     void start(Send send);
-    const tenancy::Freshness& state() const { return state_; }
+    const tenancy::ConfigurationProof& state() const { return state_; }
     /// How old a proof may be for keyed requests; nothing where none is needed.
     std::optional<Duration> longest_age() const;
 
     /// A read of the configuration that was begun at `asked` gave `revision`, which is in force here.
     void on_read(TimePoint asked, std::uint64_t revision);
-    void on_question(const tenancy::ProofQuestion& question);
-    void on_answer(const tenancy::ProofAnswer& answer);
+    void on_question(const tenancy::ProofRequest& question);
+    void on_answer(const tenancy::ProofReply& answer);
 
   private:
     bool is_needed() const;
@@ -54,7 +54,7 @@
     ConfigurationHolder& configuration_;
     membership::PeerDirectory& directory_;
     Send send_;
-    tenancy::Freshness state_;
+    tenancy::ConfigurationProof state_;
     std::uint64_t read_revision_ = 0;  ///< Of the configuration in force, as the store told it last.
     double patience_ = 0;              ///< In [0, 1): where in its range this daemon's own age lies.
     bool was_proven_ = true;           ///< For the log.
--- a/src/sidecar/quota_exchange.cpp
+++ b/src/sidecar/quota_exchange.cpp
@@ -11,7 +11,7 @@
 
 using observability::Event;
 using observability::log_event;
-using tenancy::QuotaAnswer;
+using tenancy::QuotaReply;
 using tenancy::TenantName;
 using tenancy::TenantTerms;
 using Verdict = QuotaDecision::Verdict;
@@ -64,10 +64,10 @@
 QuotaDecision QuotaExchange::take(const TenantTerms& tenant, TimePoint latest) {
     auto now = TimePoint::clock::now();
     auto& account = accounts_[tenant.name];
-    tenancy::noteDemand(account.purse, now);
-    while (!tenancy::takeToken(account.purse, now)) {
-        if (now < account.purse.refusedUntil) {
-            return {Verdict::kExceeded, refusal_pause(now, account.purse)};
+    tenancy::noteDemand(account.cache, now);
+    while (!tenancy::takeToken(account.cache, now)) {
+        if (now < account.cache.refusedUntil) {
+            return {Verdict::kExceeded, refusal_pause(now, account.cache)};
         }
         if (now >= latest) {
             return {Verdict::kUnknown, kUnknownRetryAfter};
@@ -93,12 +93,12 @@
 void QuotaExchange::give_back(const TenantName& tenant) {
     const auto found = accounts_.find(tenant);
     if (found != accounts_.end()) {
-        tenancy::giveBack(found->second.purse);
+        tenancy::giveBack(found->second.cache);
     }
 }
 
-Duration QuotaExchange::refusal_pause(TimePoint now, const tenancy::QuotaPurse& purse) {
-    const std::chrono::duration<double> pause = purse.retryAt - now;
+Duration QuotaExchange::refusal_pause(TimePoint now, const tenancy::TokenCache& cache) {
+    const std::chrono::duration<double> pause = cache.retryAt - now;
     const auto spread = pause * (1.0 + kRetryAfterSpread * context_.random_unit());
     return std::max<Duration>(std::chrono::duration_cast<Duration>(spread), kMostRefusal);
 }
@@ -107,9 +107,9 @@
     const auto now = TimePoint::clock::now();
     const auto owner = owner_of(now, tenant.name);
     if (owner && owner->name == context_.settings.name) {
-        const auto unused = std::exchange(account.purse.unused, 0);
+        const auto unused = std::exchange(account.cache.unused, 0);
         take_answer(account, now,
-                    grant(tenant.name, tenancy::tokensWanted(account.purse, account.waiting), unused));
+                    grant(tenant.name, tenancy::tokensWanted(account.cache, account.waiting), unused));
         return;
     }
     const auto round = std::make_shared<Round>();
@@ -145,17 +145,17 @@
                                         const std::shared_ptr<Round>& round, const Owner& owner) {
     if (owner.name == context_.settings.name) {
         take_answer(account, TimePoint::clock::now(),
-                    grant(tenant, tenancy::tokensWanted(account.purse, account.waiting), 0));
+                    grant(tenant, tenancy::tokensWanted(account.cache, account.waiting), 0));
         return Asked::kGranted;
     }
-    const auto returned = std::exchange(account.purse.unused, 0);
+    const auto returned = std::exchange(account.cache.unused, 0);
     for (int questions = 0; questions < kMostQuestions; ++questions) {
         const auto asked = TimePoint::clock::now();
-        tenancy::QuotaQuestion question;
-        question.asker = {context_.settings.advertised_gossip, context_.boot_id,
-                          tenancy::clockReading(asked)};
+        tenancy::QuotaRequest question;
+        question.requester = {context_.settings.advertised_gossip, context_.boot_id,
+                              tenancy::clockReading(asked)};
         question.tenant = tenant.value;
-        question.wanted = tenancy::tokensWanted(account.purse, account.waiting);
+        question.wanted = tenancy::tokensWanted(account.cache, account.waiting);
         // Told once only: a question whose answer was lost may have been heard.
         question.returned = questions == 0 ? returned : 0;
         send_(owner.gossip, tenancy::encode(question));
@@ -164,33 +164,33 @@
             if (!round->answer->owns) {
                 return Asked::kDeclined;
             }
-            take_answer(account, tenancy::askedAt(round->answer->asker), *round->answer);
+            take_answer(account, tenancy::sentAt(round->answer->requester), *round->answer);
             return Asked::kGranted;
         }
     }
     return Asked::kSilent;
 }
 
-void QuotaExchange::trust_owners(const Owner& asked, const QuotaAnswer& answer) {
+void QuotaExchange::trust_owners(const Owner& asked, const QuotaReply& answer) {
     answered_[asked.name] = TimePoint::clock::now();
     if (!answer.firstOwner.empty() && suspected_.erase(answer.firstOwner) > 0) {
         fleet_.made = TimePoint{};
     }
 }
 
-void QuotaExchange::take_answer(Account& account, TimePoint asked, const QuotaAnswer& answer) {
+void QuotaExchange::take_answer(Account& account, TimePoint asked, const QuotaReply& answer) {
     const auto now = TimePoint::clock::now();
-    tenancy::takeGrant(account.purse, asked, answer.granted);
-    account.purse.retryAt = now + milliseconds(answer.retryAfterMs);
+    tenancy::takeGrant(account.cache, asked, answer.granted);
+    account.cache.retryAt = now + milliseconds(answer.retryAfterMs);
     if (answer.granted == 0) {
         const milliseconds until_next(answer.untilNextMs);
-        account.purse.refusedUntil = now + std::clamp(until_next, kLeastRefusal, kMostRefusal);
+        account.cache.refusedUntil = now + std::clamp(until_next, kLeastRefusal, kMostRefusal);
     }
 }
 
-void QuotaExchange::on_answer(const QuotaAnswer& answer) {
+void QuotaExchange::on_answer(const QuotaReply& answer) {
     const auto found = accounts_.find(TenantName(answer.tenant));
-    const bool is_own = answer.asker.bootId == context_.boot_id;
+    const bool is_own = answer.requester.bootId == context_.boot_id;
     if (!is_own || found == accounts_.end() || !found->second.round) {
         return;
     }
@@ -198,11 +198,11 @@
     found->second.round->answered.set();
 }
 
-void QuotaExchange::on_question(const tenancy::QuotaQuestion& question) {
+void QuotaExchange::on_question(const tenancy::QuotaRequest& question) {
     const TenantName tenant(question.tenant);
     auto answer = grant(tenant, question.wanted, question.returned);
-    answer.asker = question.asker;
-    send_(question.asker.replyTo, tenancy::encode(answer));
+    answer.requester = question.requester;
+    send_(question.requester.replyTo, tenancy::encode(answer));
     const auto owner = owner_of(TimePoint::clock::now(), tenant);
     if (answer.owns && owner && owner->name != context_.settings.name) {
         look_for_owner(tenant);
@@ -221,9 +221,9 @@
     }
 }
 
-QuotaAnswer QuotaExchange::grant(const TenantName& tenant, unsigned wanted, unsigned returned) {
+QuotaReply QuotaExchange::grant(const TenantName& tenant, unsigned wanted, unsigned returned) {
     const auto now = TimePoint::clock::now();
-    QuotaAnswer answer;
+    QuotaReply answer;
     answer.tenant = tenant.value;
     const auto configuration = configuration_.current();
     const auto* terms = configuration ? tenancy::termsOf(configuration->keys, tenant) : nullptr;
--- a/src/sidecar/quota_exchange.hpp
+++ b/src/sidecar/quota_exchange.hpp
@@ -16,8 +16,8 @@
 #include "sidecar/sidecar_context.hpp"
 #include "tenancy/quota_bucket.hpp"
 #include "tenancy/quota_owner.hpp"
-#include "tenancy/quota_purse.hpp"
 #include "tenancy/tenancy_messages.hpp"
+#include "tenancy/token_cache.hpp"
 
 namespace anisehold::sidecar {
 
@@ -47,19 +47,19 @@
     /// A request that had taken a token has not run and never will.
     void give_back(const tenancy::TenantName& tenant);
 
-    void on_question(const tenancy::QuotaQuestion& question);
-    void on_answer(const tenancy::QuotaAnswer& answer);
+    void on_question(const tenancy::QuotaRequest& question);
+    void on_answer(const tenancy::QuotaReply& answer);
 
   private:
     /// One question, with its repetitions, and all that wait for it.
     struct Round {
         net::FiberEvent ended;
         net::FiberEvent answered;
-        std::optional<tenancy::QuotaAnswer> answer;
+        std::optional<tenancy::QuotaReply> answer;
         bool found_owner = false;
     };
     struct Account {
-        tenancy::QuotaPurse purse;
+        tenancy::TokenCache cache;
         unsigned waiting = 0;
         std::shared_ptr<Round> round;  ///< The one under way.
     };
@@ -91,20 +91,20 @@
               const Owner& owner);
     /// Notes that an owner answered. An owner that didn't answer this daemon is trusted again if the next one
     /// has heard it: 180 ms without an answer may be one of them being short of processor time.
-    void trust_owners(const Owner& asked, const tenancy::QuotaAnswer& answer);
-    static void take_answer(Account& account, TimePoint asked, const tenancy::QuotaAnswer& answer);
+    void trust_owners(const Owner& asked, const tenancy::QuotaReply& answer);
+    static void take_answer(Account& account, TimePoint asked, const tenancy::QuotaReply& answer);
     /// Another daemon was asked in vain, by a peer: finds out whether it is there. Until that is known, this
     /// one grants a part of the rate only.
     void look_for_owner(const tenancy::TenantName& tenant);
     /// Counts as the owner.
-    tenancy::QuotaAnswer grant(const tenancy::TenantName& tenant, unsigned wanted, unsigned returned);
+    tenancy::QuotaReply grant(const tenancy::TenantName& tenant, unsigned wanted, unsigned returned);
     /// Notices changes of the fleet also while nothing is asked: a new owner's first tokens depend on how
     /// long ago the last one was.
     void review_fleet();
     const FleetView& fleet(TimePoint now);
     std::optional<Owner> owner_of(TimePoint now, const tenancy::TenantName& tenant);
     bool is_suspected(TimePoint now, const membership::FleetMember& member) const;
-    Duration refusal_pause(TimePoint now, const tenancy::QuotaPurse& purse);
+    Duration refusal_pause(TimePoint now, const tenancy::TokenCache& cache);
 
     SidecarContext& context_;
     ConfigurationHolder& configuration_;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -8,8 +8,8 @@
 #include "observability/events.hpp"
 #include "sidecar/call_ingress.hpp"
 #include "sidecar/crash_exchange.hpp"
-#include "sidecar/freshness_keeper.hpp"
 #include "sidecar/peer_exchange.hpp"
+#include "sidecar/proof_keeper.hpp"
 #include "sidecar/quota_exchange.hpp"
 #include "sidecar/server_probe.hpp"
 #include "sidecar/store_follower.hpp"
@@ -86,10 +86,10 @@
           crashes(context, store, directory),
           gate(context, crashes),
           peers(context, directory, gate, configuration),
-          freshness(context, store, configuration, directory),
+          proofs(context, store, configuration, directory),
           quotas(context, configuration, directory),
-          follower(context, store, configuration, directory, freshness, crashes),
-          ingress(context, configuration, directory, gate, freshness, quotas, crashes),
+          follower(context, store, configuration, directory, proofs, crashes),
+          ingress(context, configuration, directory, gate, proofs, quotas, crashes),
           calls(loop.io(), limits_for({}),
                 {[this](net::HttpRequest& request, net::CancelSignal& cancel) {
                      return ingress.handle(request, cancel);
@@ -118,7 +118,7 @@
     CrashExchange crashes;
     LocalGate gate;
     PeerExchange peers;
-    FreshnessKeeper freshness;
+    ProofKeeper proofs;
     QuotaExchange quotas;
     StoreFollower follower;
     CallIngress ingress;
@@ -164,7 +164,7 @@
         return false;
     }
     const auto send = [this](const Endpoint& to, std::string_view bytes) { parts_->peers.send(to, bytes); };
-    parts_->freshness.start(send);
+    parts_->proofs.start(send);
     parts_->quotas.start(send);
     parts_->crashes.start(send);
     parts_->gate.set_crash_listener([this] { parts_->peers.announce(); });
@@ -233,13 +233,13 @@
     if (!message) {
         return false;
     }
-    if (const auto* proof_question = boost::get<tenancy::ProofQuestion>(&*message)) {
-        parts_->freshness.on_question(*proof_question);
-    } else if (const auto* proof = boost::get<tenancy::ProofAnswer>(&*message)) {
-        parts_->freshness.on_answer(*proof);
-    } else if (const auto* quota_question = boost::get<tenancy::QuotaQuestion>(&*message)) {
+    if (const auto* proof_question = boost::get<tenancy::ProofRequest>(&*message)) {
+        parts_->proofs.on_question(*proof_question);
+    } else if (const auto* proof = boost::get<tenancy::ProofReply>(&*message)) {
+        parts_->proofs.on_answer(*proof);
+    } else if (const auto* quota_question = boost::get<tenancy::QuotaRequest>(&*message)) {
         parts_->quotas.on_question(*quota_question);
-    } else if (const auto* grant = boost::get<tenancy::QuotaAnswer>(&*message)) {
+    } else if (const auto* grant = boost::get<tenancy::QuotaReply>(&*message)) {
         parts_->quotas.on_answer(*grant);
     }
     return true;
--- a/src/sidecar/store_follower.cpp
+++ b/src/sidecar/store_follower.cpp
@@ -18,7 +18,7 @@
 using observability::Event;
 using observability::log_event;
 using store::CallOutcome;
-using store::Freshness;
+using store::ReadMode;
 
 /// All that the daemons keep lies below it.
 constexpr const char* kOwnPrefix = "anisehold/";
@@ -68,16 +68,16 @@
     boost::this_fiber::sleep_for(jittered);
 }
 
-std::uint64_t StoreFollower::read_configuration(Freshness freshness) {
+std::uint64_t StoreFollower::read_configuration(ReadMode mode) {
     const auto asked = TimePoint::clock::now();
-    const auto reply = store_.read(context_.dialect.configuration_key(), freshness, store_call_deadline());
+    const auto reply = store_.read(context_.dialect.configuration_key(), mode, store_call_deadline());
     if (!note(reply.outcome, "read configuration")) {
         return 0;
     }
     if (reply.outcome == CallOutcome::kDone) {
         const auto offered = configuration_.offer(reply.item.value, ConfigurationSource::kStore);
-        if (freshness == Freshness::kLatest && offered != OfferOutcome::kRejected) {
-            freshness_.on_read(asked, reply.item.revision);
+        if (mode == ReadMode::kLatest && offered != OfferOutcome::kRejected) {
+            proofs_.on_read(asked, reply.item.revision);
         }
     }
     return reply.store_revision;
@@ -87,9 +87,9 @@
     // An old version is enough to begin with: the watchers' records tell of a newer one at once. Where the
     // store has none yet, they tell of the first. Keyed requests need more: a daemon that reads the latest
     // one serves them a second sooner than one that waits for a peer's proof.
-    const auto freshness = freshness_.longest_age() ? Freshness::kLatest : Freshness::kMayBeStale;
+    const auto mode = proofs_.longest_age() ? ReadMode::kLatest : ReadMode::kMayBeStale;
     unsigned failures = 0;
-    while (configuration_.version() == 0 && read_configuration(freshness) == 0) {
+    while (configuration_.version() == 0 && read_configuration(mode) == 0) {
         pause(failures++, kLongestRegistrationPause);
     }
 }
@@ -108,7 +108,7 @@
 }
 
 std::uint64_t StoreFollower::follow_once(std::uint64_t watch_from) {
-    return watch_from == 0 ? read_configuration(Freshness::kLatest) : watch_configuration(watch_from);
+    return watch_from == 0 ? read_configuration(ReadMode::kLatest) : watch_configuration(watch_from);
 }
 
 WatchRole StoreFollower::review_role() {
@@ -169,7 +169,7 @@
 }
 
 void StoreFollower::restore_missing() {
-    const auto members = list_members(Freshness::kMayBeStale);
+    const auto members = list_members(ReadMode::kMayBeStale);
     if (!members) {
         return;
     }
@@ -212,13 +212,13 @@
     return note(written.outcome, "register") && written.outcome == CallOutcome::kDone;
 }
 
-std::optional<std::vector<store::StoreItem>> StoreFollower::list_members(Freshness freshness) {
+std::optional<std::vector<store::StoreItem>> StoreFollower::list_members(ReadMode mode) {
     std::vector<store::StoreItem> members;
     std::vector<store::StoreItem> verdicts;
     std::string after;
     bool more = true;
     while (more) {
-        auto page = store_.list(kOwnPrefix, after, freshness, store_call_deadline());
+        auto page = store_.list(kOwnPrefix, after, mode, store_call_deadline());
         if (!note(page.outcome, "list peers") || page.outcome != CallOutcome::kDone) {
             return std::nullopt;
         }
@@ -296,7 +296,7 @@
         return register_self() ? std::optional(RegistrationStep::kList) : std::nullopt;
     }
     const bool looking = step == RegistrationStep::kLook;
-    const auto members = list_members(looking ? Freshness::kMayBeStale : Freshness::kLatest);
+    const auto members = list_members(looking ? ReadMode::kMayBeStale : ReadMode::kLatest);
     if (!members) {
         return std::nullopt;
     }
--- a/src/sidecar/store_follower.hpp
+++ b/src/sidecar/store_follower.hpp
@@ -13,7 +13,7 @@
 #include "membership/peer_directory.hpp"
 #include "sidecar/configuration_holder.hpp"
 #include "sidecar/crash_exchange.hpp"
-#include "sidecar/freshness_keeper.hpp"
+#include "sidecar/proof_keeper.hpp"
 #include "sidecar/sidecar_context.hpp"
 #include "store/coordination_store.hpp"
 
@@ -26,13 +26,13 @@
     using PeersFound = std::function<void()>;
 
     StoreFollower(SidecarContext& context, store::CoordinationStore& store,
-                  ConfigurationHolder& configuration, membership::PeerDirectory& directory,
-                  FreshnessKeeper& freshness, CrashExchange& crashes)
+                  ConfigurationHolder& configuration, membership::PeerDirectory& directory, ProofKeeper& mode,
+                  CrashExchange& crashes)
         : context_(context),
           store_(store),
           configuration_(configuration),
           directory_(directory),
-          freshness_(freshness),
+          proofs_(mode),
           crashes_(crashes) {}
 
     /// Starts the fibers; `peers_found` is called after each list of peers was read.
@@ -48,7 +48,7 @@
     discovery::WatchRole review_role();
     /// One read or watch. Returns the revision to watch from, or 0 if the store gave no answer.
     std::uint64_t follow_once(std::uint64_t watch_from);
-    std::uint64_t read_configuration(store::Freshness freshness);
+    std::uint64_t read_configuration(store::ReadMode mode);
     std::uint64_t watch_configuration(std::uint64_t watch_from);
     /// A daemon that finds its registration from before needs no write: whoever registered since has listed
     /// it. Otherwise it writes before it lists, so that of two that start together the later reader sees the
@@ -64,7 +64,7 @@
     std::string own_key() const;
     /// Lists all that the daemons keep in the store, with as many calls as members alone take; returns the
     /// members.
-    std::optional<std::vector<store::StoreItem>> list_members(store::Freshness freshness);
+    std::optional<std::vector<store::StoreItem>> list_members(store::ReadMode mode);
     /// Makes the members known; whether this daemon's own registration is among them.
     bool take_members(const std::vector<store::StoreItem>& members);
     /// Removes registrations of machines that are gone for good.
@@ -79,7 +79,7 @@
     store::CoordinationStore& store_;
     ConfigurationHolder& configuration_;
     membership::PeerDirectory& directory_;
-    FreshnessKeeper& freshness_;
+    ProofKeeper& proofs_;
     CrashExchange& crashes_;
     PeersFound peers_found_;
     discovery::WatchState watch_;
--- a/src/store/coordination_store.hpp
+++ b/src/store/coordination_store.hpp
@@ -62,7 +62,7 @@
 };
 
 /// How fresh the answer to a read must be.
-enum class Freshness {
+enum class ReadMode {
     kLatest,      ///< All that was acknowledged before the call is seen.
     kMayBeStale,  ///< May be seconds old; costs a tenth and isn't counted towards the store's rate.
 };
@@ -72,9 +72,9 @@
   public:
     virtual ~CoordinationStore() = default;
 
-    virtual ReadReply read(const std::string& key, Freshness freshness, TimePoint deadline) = 0;
+    virtual ReadReply read(const std::string& key, ReadMode mode, TimePoint deadline) = 0;
     /// Items whose keys begin with `prefix`, from the one after `after`.
-    virtual ListReply list(const std::string& prefix, const std::string& after, Freshness freshness,
+    virtual ListReply list(const std::string& prefix, const std::string& after, ReadMode mode,
                            TimePoint deadline) = 0;
     /// Changes below `prefix` after a revision; comes back without any once `wait` is over.
     virtual WatchReply watch(const std::string& prefix, std::uint64_t after_revision, milliseconds wait) = 0;
--- a/src/tenancy/caller_verdict.cpp
+++ b/src/tenancy/caller_verdict.cpp
@@ -3,7 +3,7 @@
 namespace anisehold::tenancy
 {
 
-CallerVerdict judgeCaller (const KeyRing& ring, const Freshness& freshness, TimePoint now,
+CallerVerdict judgeCaller (const KeyRing& ring, const ConfigurationProof& freshness, TimePoint now,
                            const Credentials& credentials, const CallerRules& rules)
 {
     if (credentials.isMalformed)
--- a/src/tenancy/caller_verdict.hpp
+++ b/src/tenancy/caller_verdict.hpp
@@ -3,7 +3,7 @@
 
 #include <optional>
 
-#include "tenancy/freshness.hpp"
+#include "tenancy/configuration_proof.hpp"
 #include "tenancy/tenant_types.hpp"
 
 namespace anisehold::tenancy
@@ -39,7 +39,7 @@
     std::optional<Duration> longestProofAge{}; /**< Nothing where keys needn't go out of force in time. */
 };
 
-CallerVerdict judgeCaller (const KeyRing&, const Freshness&, TimePoint now, const Credentials&,
+CallerVerdict judgeCaller (const KeyRing&, const ConfigurationProof&, TimePoint now, const Credentials&,
                            const CallerRules&);
 
 } // namespace anisehold::tenancy
--- a/src/tenancy/freshness.hpp
+++ b/src/tenancy/configuration_proof.hpp
@@ -24,26 +24,26 @@
 inline constexpr milliseconds unknownKeyProofAge{ 2'000 };
 
 /** What one daemon knows. */
-struct Freshness
+struct ConfigurationProof
 {
     std::optional<TimePoint> provenAt; /**< No newer version than the own one existed then. */
 };
 
 /** The store, or a peer that knew it from there, answered a question that was sent at `asked`. `age` is what
     the peer added: how long before its answer it was proven. */
-inline void noteProof (Freshness& state, TimePoint asked, Duration age = Duration::zero())
+inline void noteProof (ConfigurationProof& state, TimePoint asked, Duration age = Duration::zero())
 {
     const auto moment = asked - std::max (age, Duration::zero());
     state.provenAt = state.provenAt ? std::max (*state.provenAt, moment) : moment;
 }
 
 /** Age of the proof; nothing without one. */
-inline std::optional<Duration> proofAge (const Freshness& state, TimePoint now)
+inline std::optional<Duration> proofAge (const ConfigurationProof& state, TimePoint now)
 {
     return state.provenAt ? std::optional<Duration> (now - *state.provenAt) : std::nullopt;
 }
 
-inline bool isProven (const Freshness& state, TimePoint now, Duration within)
+inline bool isProven (const ConfigurationProof& state, TimePoint now, Duration within)
 {
     const auto age = proofAge (state, now);
     return age && *age <= within;
--- a/src/tenancy/tenancy_messages.hpp
+++ b/src/tenancy/tenancy_messages.hpp
@@ -19,16 +19,16 @@
 {
 
 /** Who asks, and when. */
-struct Asker
+struct Requester
 {
     Endpoint replyTo;
     std::uint64_t bootId = 0; /**< Of the asking process: a predecessor's answers are dropped. */
-    std::int64_t askedNs = 0; /**< Reading of its steady clock. */
+    std::int64_t sentNs = 0;  /**< Reading of its steady clock. */
 
     template <typename Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        serialize_all (archive, replyTo, bootId, askedNs);
+        serialize_all (archive, replyTo, bootId, sentNs);
     }
 };
 
@@ -39,41 +39,41 @@
 }
 
 /** When the question was asked, on the asker's clock. */
-inline TimePoint askedAt (const Asker& asker)
+inline TimePoint sentAt (const Requester& requester)
 {
-    return TimePoint (std::chrono::duration_cast<Duration> (std::chrono::nanoseconds (asker.askedNs)));
+    return TimePoint (std::chrono::duration_cast<Duration> (std::chrono::nanoseconds (requester.sentNs)));
 }
 
 /** How fresh is your configuration? */
-struct ProofQuestion
+struct ProofRequest
 {
-    Asker asker;
+    Requester requester;
 
     template <typename Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        serialize_all (archive, asker);
+        serialize_all (archive, requester);
     }
 };
 
 /** No version newer than `version` existed `ageMs` before this answer. */
-struct ProofAnswer
+struct ProofReply
 {
-    Asker asker;
+    Requester requester;
     std::uint64_t version = 0;
     std::uint32_t ageMs = 0;
 
     template <typename Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        serialize_all (archive, asker, version, ageMs);
+        serialize_all (archive, requester, version, ageMs);
     }
 };
 
 /** Tokens of a tenant are wanted, and others come back. */
-struct QuotaQuestion
+struct QuotaRequest
 {
-    Asker asker;
+    Requester requester;
     std::string tenant;
     std::uint32_t wanted = 0;
     std::uint32_t returned = 0;
@@ -81,14 +81,14 @@
     template <typename Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        serialize_all (archive, asker, tenant, wanted, returned);
+        serialize_all (archive, requester, tenant, wanted, returned);
     }
 };
 
 /** What the owner grants. */
-struct QuotaAnswer
+struct QuotaReply
 {
-    Asker asker;
+    Requester requester;
     std::string tenant;
     bool owns = false; /**< Otherwise it knows no such tenant, or is about to leave. */
     std::string
@@ -100,11 +100,11 @@
     template <typename Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        serialize_all (archive, asker, tenant, owns, firstOwner, granted, untilNextMs, retryAfterMs);
+        serialize_all (archive, requester, tenant, owns, firstOwner, granted, untilNextMs, retryAfterMs);
     }
 };
 
-using Message = boost::variant<ProofQuestion, ProofAnswer, QuotaQuestion, QuotaAnswer>;
+using Message = boost::variant<ProofRequest, ProofReply, QuotaRequest, QuotaReply>;
 
 std::string encode (const Message&);
 /** Nothing if the bytes aren't such a message. */
--- a/src/tenancy/quota_purse.hpp
+++ b/src/tenancy/token_cache.hpp
@@ -15,12 +15,12 @@
 inline constexpr milliseconds tokenLifetime{ 300 };
 /** Tokens are asked for ahead for this time of the daemon's own demand, so that a busy tenant isn't asked for
     with every request. */
-inline constexpr milliseconds askedAhead{ 150 };
+inline constexpr milliseconds tokenPrefetch{ 150 };
 /** Demand counts half after this time. */
 inline constexpr double demandHalfLifeS = 1.0;
 
 /** What one daemon keeps of one tenant. */
-struct QuotaPurse
+struct TokenCache
 {
     unsigned tokens = 0;
     TimePoint usableUntil{};
@@ -31,54 +31,54 @@
     TimePoint retryAt{};      /**< When refused requests may come back. */
 };
 
-inline void fadeDemand (QuotaPurse& purse, TimePoint now)
+inline void fadeDemand (TokenCache& cache, TimePoint now)
 {
-    const double passedS = std::chrono::duration<double> (now - purse.demandUpdated).count();
-    purse.demand *= std::exp2 (-std::min (passedS, 100.0) / demandHalfLifeS);
-    purse.demandUpdated = now;
+    const double passedS = std::chrono::duration<double> (now - cache.demandUpdated).count();
+    cache.demand *= std::exp2 (-std::min (passedS, 100.0) / demandHalfLifeS);
+    cache.demandUpdated = now;
 }
 
-inline void noteDemand (QuotaPurse& purse, TimePoint now)
+inline void noteDemand (TokenCache& cache, TimePoint now)
 {
-    fadeDemand (purse, now);
-    purse.demand += 1;
+    fadeDemand (cache, now);
+    cache.demand += 1;
 }
 
 /** Takes one token, if one is left. */
-inline bool takeToken (QuotaPurse& purse, TimePoint now)
+inline bool takeToken (TokenCache& cache, TimePoint now)
 {
-    if (now >= purse.usableUntil)
+    if (now >= cache.usableUntil)
     {
-        purse.unused += purse.tokens;
-        purse.tokens = 0;
+        cache.unused += cache.tokens;
+        cache.tokens = 0;
     }
 
-    if (purse.tokens == 0)
+    if (cache.tokens == 0)
         return false;
 
-    --purse.tokens;
+    --cache.tokens;
     return true;
 }
 
 /** A request that had taken a token didn't run. */
-inline void giveBack (QuotaPurse& purse)
+inline void giveBack (TokenCache& cache)
 {
-    ++purse.unused;
+    ++cache.unused;
 }
 
 /** How many tokens are asked for while `waiting` requests need one. */
-inline unsigned tokensWanted (const QuotaPurse& purse, unsigned waiting)
+inline unsigned tokensWanted (const TokenCache& cache, unsigned waiting)
 {
-    const double perS = purse.demand * std::log (2.0) / demandHalfLifeS;
-    const auto ahead = static_cast<unsigned> (perS * std::chrono::duration<double> (askedAhead).count());
+    const double perS = cache.demand * std::log (2.0) / demandHalfLifeS;
+    const auto ahead = static_cast<unsigned> (perS * std::chrono::duration<double> (tokenPrefetch).count());
     return std::max (waiting, ahead);
 }
 
 /** The owner answered a question that was sent at `asked`. */
-inline void takeGrant (QuotaPurse& purse, TimePoint asked, unsigned granted)
+inline void takeGrant (TokenCache& cache, TimePoint asked, unsigned granted)
 {
-    purse.tokens += granted;
-    purse.usableUntil = asked + tokenLifetime;
+    cache.tokens += granted;
+    cache.usableUntil = asked + tokenLifetime;
 }
 
 } // namespace anisehold::tenancy
--- a/tests/unit/tenancy/caller_verdict_test.cpp
+++ b/tests/unit/tenancy/caller_verdict_test.cpp
@@ -23,9 +23,9 @@
     return ring;
 }
 
-Freshness provenAt (TimePoint moment)
+ConfigurationProof provenAt (TimePoint moment)
 {
-    Freshness freshness;
+    ConfigurationProof freshness;
     noteProof (freshness, moment);
     return freshness;
 }
--- a/tests/unit/tenancy/freshness_test.cpp
+++ b/tests/unit/tenancy/configuration_proof_test.cpp
@@ -1,4 +1,4 @@
-#include "tenancy/freshness.hpp"
+#include "tenancy/configuration_proof.hpp"
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -16,7 +16,7 @@
 
 TEST_CASE ("a proof counts from before its question was sent")
 {
-    Freshness state;
+    ConfigurationProof state;
     CHECK_FALSE (proofAge (state, start));
     noteProof (state, start);
     // However late the answer is read, a proof is no younger than its question.
@@ -27,7 +27,7 @@
 
 TEST_CASE ("an older proof doesn't replace a younger one")
 {
-    Freshness state;
+    ConfigurationProof state;
     noteProof (state, start + seconds (5));
     noteProof (state, start + seconds (1));
     noteProof (state, start + seconds (6), seconds (3));
@@ -46,7 +46,7 @@
 
     for (int round = 0; round < 200; ++round)
     {
-        std::vector<Freshness> chain (6);
+        std::vector<ConfigurationProof> chain (6);
         auto now = start;
         const auto truth = now;
         noteProof (chain.front(), truth);
@@ -66,7 +66,7 @@
 
 TEST_CASE ("a paused daemon finds its proof over when it wakes")
 {
-    Freshness state;
+    ConfigurationProof state;
     noteProof (state, start);
     const auto bound = longestProofAge (milliseconds (5'000));
     CHECK (isProven (state, start + milliseconds (4'750), bound));
--- a/tests/unit/tenancy/quota_test.cpp
+++ b/tests/unit/tenancy/quota_test.cpp
@@ -7,7 +7,7 @@
 
 #include "tenancy/quota_bucket.hpp"
 #include "tenancy/quota_owner.hpp"
-#include "tenancy/quota_purse.hpp"
+#include "tenancy/token_cache.hpp"
 
 using namespace anisehold;
 using namespace anisehold::tenancy;
@@ -60,7 +60,7 @@
 SimulationResult simulateOwner (std::size_t fleet, const RateAt& rate, std::uint32_t seed)
 {
     std::mt19937 random (seed);
-    std::vector<QuotaPurse> purses (fleet);
+    std::vector<TokenCache> caches (fleet);
     auto bucket = makeBucket (terms, start, start - seconds (10));
     SimulationResult result;
     std::vector<TimePoint> served;
@@ -73,21 +73,21 @@
 
         for (auto n = arrivals (random); n > 0; --n)
         {
-            auto& purse = purses[random() % fleet];
+            auto& cache = caches[random() % fleet];
             ++result.offered;
-            noteDemand (purse, now);
-            bool has = takeToken (purse, now);
+            noteDemand (cache, now);
+            bool has = takeToken (cache, now);
 
-            if (! has && now >= purse.refusedUntil)
+            if (! has && now >= cache.refusedUntil)
             {
                 ++result.questions;
-                returnTokens (bucket, now, terms, std::exchange (purse.unused, 0));
-                const auto grant = takeTokens (bucket, now, terms, tokensWanted (purse, 1));
-                takeGrant (purse, now, grant.granted);
-                purse.refusedUntil =
+                returnTokens (bucket, now, terms, std::exchange (cache.unused, 0));
+                const auto grant = takeTokens (bucket, now, terms, tokensWanted (cache, 1));
+                takeGrant (cache, now, grant.granted);
+                cache.refusedUntil =
                     grant.granted > 0 ? now
                                       : now + std::clamp<Duration> (grant.untilNext, step, milliseconds (50));
-                has = takeToken (purse, now);
+                has = takeToken (cache, now);
             }
 
             if (has)
@@ -216,25 +216,25 @@
 
 TEST_CASE ("tokens that aren't used in time are returned")
 {
-    QuotaPurse purse;
-    takeGrant (purse, start, 5);
-    CHECK (takeToken (purse, start + milliseconds (10)));
-    CHECK_FALSE (takeToken (purse, start + tokenLifetime));
-    CHECK (purse.unused == 4);
-    giveBack (purse);
-    CHECK (purse.unused == 5);
+    TokenCache cache;
+    takeGrant (cache, start, 5);
+    CHECK (takeToken (cache, start + milliseconds (10)));
+    CHECK_FALSE (takeToken (cache, start + tokenLifetime));
+    CHECK (cache.unused == 4);
+    giveBack (cache);
+    CHECK (cache.unused == 5);
 }
 
 TEST_CASE ("a busy daemon asks ahead, a quiet one for each request")
 {
-    QuotaPurse busy;
+    TokenCache busy;
 
     for (int i = 0; i < 1'000; ++i)
         noteDemand (busy, start + milliseconds (10 * i));
 
     CHECK (tokensWanted (busy, 1) >= 13);
     CHECK (tokensWanted (busy, 1) <= 16);
-    QuotaPurse quiet;
+    TokenCache quiet;
     noteDemand (quiet, start);
     CHECK (tokensWanted (quiet, 1) == 1);
 }
--- a/tests/unit/tenancy/tenancy_messages_test.cpp
+++ b/tests/unit/tenancy/tenancy_messages_test.cpp
@@ -7,29 +7,29 @@
 
 TEST_CASE ("messages about tenants come back as they were sent")
 {
-    const Asker asker{ *parse_endpoint ("10.1.0.8:7620"), 77, 123'456'789 };
-    const auto question = decode (encode (QuotaQuestion{ asker, "blue", 3, 2 }));
+    const Requester requester{ *parse_endpoint ("10.1.0.8:7620"), 77, 123'456'789 };
+    const auto question = decode (encode (QuotaRequest{ requester, "blue", 3, 2 }));
     REQUIRE (question);
-    const auto* quota = boost::get<QuotaQuestion> (&*question);
+    const auto* quota = boost::get<QuotaRequest> (&*question);
     REQUIRE (quota != nullptr);
     CHECK (quota->tenant == "blue");
     CHECK (quota->wanted == 3);
     CHECK (quota->returned == 2);
-    CHECK (quota->asker.askedNs == 123'456'789);
-    const auto grant = decode (encode (QuotaAnswer{ asker, "blue", true, "daemon-1", 4, 5, 6 }));
+    CHECK (quota->requester.sentNs == 123'456'789);
+    const auto grant = decode (encode (QuotaReply{ requester, "blue", true, "daemon-1", 4, 5, 6 }));
     REQUIRE (grant);
-    CHECK (boost::get<QuotaAnswer> (*grant).firstOwner == "daemon-1");
-    CHECK (boost::get<QuotaAnswer> (*grant).granted == 4);
-    const auto answer = decode (encode (ProofAnswer{ asker, 12, 345 }));
+    CHECK (boost::get<QuotaReply> (*grant).firstOwner == "daemon-1");
+    CHECK (boost::get<QuotaReply> (*grant).granted == 4);
+    const auto answer = decode (encode (ProofReply{ requester, 12, 345 }));
     REQUIRE (answer);
-    CHECK (boost::get<ProofAnswer> (&*answer) != nullptr);
+    CHECK (boost::get<ProofReply> (&*answer) != nullptr);
 }
 
 TEST_CASE ("bytes that are no message about tenants are told apart")
 {
     CHECK_FALSE (decode (""));
     CHECK_FALSE (decode ("B-record"));
-    const auto whole = encode (QuotaQuestion{ {}, "blue", 3, 2 });
+    const auto whole = encode (QuotaRequest{ {}, "blue", 3, 2 });
 
     for (std::size_t n = 0; n < whole.size(); ++n)
         CHECK_FALSE (decode (whole.substr (0, n)));
--- a/tests/unit/wire/datagram_golden_test.cpp
+++ b/tests/unit/wire/datagram_golden_test.cpp
@@ -44,19 +44,19 @@
     return report;
 }
 
-tenancy::Asker full_asker() {
+tenancy::Requester full_asker() {
     return {{"10.1.0.8", 7'620}, 0x0102030405060708, 0x1112131415161718};
 }
 
 const std::vector<tenancy::Message> kTenancyMessages{
-    tenancy::ProofQuestion{full_asker()},
-    tenancy::ProofAnswer{full_asker(), 0x2122232425262728, 31},
-    tenancy::QuotaQuestion{full_asker(), "blue", 32, 33},
-    tenancy::QuotaAnswer{full_asker(), "green", true, "daemon-34", 35, 36, 37},
-    tenancy::ProofQuestion{},
-    tenancy::ProofAnswer{},
-    tenancy::QuotaQuestion{},
-    tenancy::QuotaAnswer{}};
+    tenancy::ProofRequest{full_asker()},
+    tenancy::ProofReply{full_asker(), 0x2122232425262728, 31},
+    tenancy::QuotaRequest{full_asker(), "blue", 32, 33},
+    tenancy::QuotaReply{full_asker(), "green", true, "daemon-34", 35, 36, 37},
+    tenancy::ProofRequest{},
+    tenancy::ProofReply{},
+    tenancy::QuotaRequest{},
+    tenancy::QuotaReply{}};
 
 const std::vector<std::string> kTenancyNames{
     "proof question, every field set", "proof answer, every field set", "quota question, every field set",
--- a/tests/unit/wire/platform_problem_test.cpp
+++ b/tests/unit/wire/platform_problem_test.cpp
@@ -15,12 +15,12 @@
 /// A store that refuses every call.
 class DeafStore final : public store::CoordinationStore {
   public:
-    store::ReadReply read(const std::string& /*key*/, store::Freshness /*freshness*/,
+    store::ReadReply read(const std::string& /*key*/, store::ReadMode /*freshness*/,
                           TimePoint /*deadline*/) override {
         return {store::CallOutcome::kRefused, {}, 0};
     }
     store::ListReply list(const std::string& /*prefix*/, const std::string& /*after*/,
-                          store::Freshness /*freshness*/, TimePoint /*deadline*/) override {
+                          store::ReadMode /*freshness*/, TimePoint /*deadline*/) override {
         return {store::CallOutcome::kRefused, {}, 0, false, 0};
     }
     store::WatchReply watch(const std::string& /*prefix*/, std::uint64_t /*after_revision*/,
@@ -54,7 +54,7 @@
     ConfigurationHolder configuration{context};
     CrashExchange crashes{context, store, directory};
     LocalGate gate{context, crashes};
-    FreshnessKeeper freshness{context, store, configuration, directory};
+    ProofKeeper freshness{context, store, configuration, directory};
     QuotaExchange quotas{context, configuration, directory};
     CallIngress ingress{context, configuration, directory, gate, freshness, quotas, crashes};
 
--- a/tests/unit/wire/verdict_key_golden_test.cpp
+++ b/tests/unit/wire/verdict_key_golden_test.cpp
@@ -15,13 +15,13 @@
 /// Keeps what is written and asked for.
 class KeptCalls final : public store::CoordinationStore {
   public:
-    store::ReadReply read(const std::string& key, store::Freshness /*freshness*/,
+    store::ReadReply read(const std::string& key, store::ReadMode /*freshness*/,
                           TimePoint /*deadline*/) override {
         calls.push_back({"read", key});
         return {store::CallOutcome::kDone, {key, "", 7}, 7};
     }
     store::ListReply list(const std::string& /*prefix*/, const std::string& /*after*/,
-                          store::Freshness /*freshness*/, TimePoint /*deadline*/) override {
+                          store::ReadMode /*freshness*/, TimePoint /*deadline*/) override {
         return {};
     }
     store::WatchReply watch(const std::string& /*prefix*/, std::uint64_t /*after_revision*/,
