--- a/src/config/mechanisms.hpp
+++ b/src/config/mechanisms.hpp
@@ -34,8 +34,8 @@
     kZonePreference,    ///< Servers of the own zone are preferred.
     kColdServers,       ///< Servers that have just started get less.
     kFailingServers,    ///< Servers that fail get less.
-    kReachLimit,        ///< Servers that can't be connected to are passed over.
-    kRestLimit,         ///< Connections that a server forgets rest less long.
+    kConnectBackoff,    ///< Servers that can't be connected to are passed over.
+    kIdleLimit,         ///< Connections that a server forgets rest less long.
     kServerProbe,       ///< A daemon that starts asks the server beside it for its health.
     kServerWait,        ///< Requests wait for servers to be heard of after a start.
     kKeyProof,          ///< Keyed requests need a recent proof that the configuration is the newest.
--- a/src/connection/reach.hpp
+++ b/src/connection/connect_backoff.hpp
@@ -11,47 +11,47 @@
 {
 
 /** What the latest attempts showed. */
-struct Reach
+struct ConnectBackoff
 {
     unsigned failuresInRow = 0;
-    TimePoint nextTry;
+    TimePoint nextAttempt;
 };
 
 /** Failures in a row after which a server counts as unreachable. */
 inline constexpr unsigned mostFailures = 3;
 /** Pause between two attempts at an unreachable server. */
-inline constexpr milliseconds tryPause{ 300 };
+inline constexpr milliseconds attemptInterval{ 300 };
 
 /** Whether the server counts as unreachable. */
-inline bool isUnreachable (const Reach& reach)
+inline bool isUnreachable (const ConnectBackoff& backoff)
 {
-    return reach.failuresInRow >= mostFailures;
+    return backoff.failuresInRow >= mostFailures;
 }
 
 /** Whether a request may try to connect now; takes the single attempt of an unreachable server. */
-inline bool takeTry (Reach& reach, TimePoint now)
+inline bool takeAttempt (ConnectBackoff& backoff, TimePoint now)
 {
-    if (! isUnreachable (reach))
+    if (! isUnreachable (backoff))
         return true;
 
-    if (now < reach.nextTry)
+    if (now < backoff.nextAttempt)
         return false;
 
-    reach.nextTry = now + tryPause;
+    backoff.nextAttempt = now + attemptInterval;
     return true;
 }
 
 /** The server was connected to. */
-inline void noteConnected (Reach& reach)
+inline void noteConnected (ConnectBackoff& backoff)
 {
-    reach.failuresInRow = 0;
+    backoff.failuresInRow = 0;
 }
 
 /** It could not be. */
-inline void noteConnectFailed (Reach& reach, TimePoint now)
+inline void noteConnectFailed (ConnectBackoff& backoff, TimePoint now)
 {
-    ++reach.failuresInRow;
-    reach.nextTry = now + tryPause;
+    ++backoff.failuresInRow;
+    backoff.nextAttempt = now + attemptInterval;
 }
 
 } // namespace anisehold::connection
--- a/src/connection/rest_limit.hpp
+++ b/src/connection/idle_limit.hpp
@@ -14,28 +14,28 @@
 {
 
 /** What was learned of one server. */
-struct RestLimit
+struct IdleLimit
 {
     Duration longest = Duration::max(); /**< As of `changed`; no limit at first. */
     TimePoint changed;
 };
 
 /** No limit is learned below this: a pause between two requests isn't rest. */
-inline constexpr milliseconds leastRest{ 20 };
+inline constexpr milliseconds leastIdle{ 20 };
 /** Part of the rest after which a connection was lost that is still taken for safe. */
 inline constexpr int safePart = 4;
 /** Time without a loss in which the limit doubles. */
-inline constexpr seconds restDoubling{ 5 };
+inline constexpr seconds idleDoubling{ 5 };
 /** Doublings after which there is no limit any more. */
 inline constexpr int mostDoublings = 8;
 
 /** How long a connection may have rested now. */
-inline Duration longestRest (const RestLimit& limit, TimePoint now)
+inline Duration longestIdle (const IdleLimit& limit, TimePoint now)
 {
     if (limit.longest == Duration::max())
         return limit.longest;
 
-    const auto doublings = (now - limit.changed) / restDoubling;
+    const auto doublings = (now - limit.changed) / idleDoubling;
 
     if (doublings >= mostDoublings)
         return Duration::max();
@@ -44,9 +44,9 @@
 }
 
 /** A connection that had rested for `rested` was lost when it was used again. */
-inline void noteLost (RestLimit& limit, TimePoint now, Duration rested)
+inline void noteLost (IdleLimit& limit, TimePoint now, Duration idle)
 {
-    limit.longest = std::max<Duration> (std::min (longestRest (limit, now), rested / safePart), leastRest);
+    limit.longest = std::max<Duration> (std::min (longestIdle (limit, now), idle / safePart), leastIdle);
     limit.changed = now;
 }
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -24,7 +24,7 @@
     TimedStream stream;
     beast::flat_buffer buffer;
     TimePoint idle_since;
-    Duration longest_rest = Duration::max();  ///< As the server announced it.
+    Duration longest_idle = Duration::max();  ///< As the server announced it.
 };
 
 /// Share of the announced rest after which a connection isn't used any more.
@@ -81,7 +81,7 @@
     State(boost::asio::io_context& io, Endpoint server, HttpPoolLimits limits)
         : io(io), server(std::move(server)), limits(limits) {}
 
-    std::unique_ptr<Connection> take_idle(TimePoint now, Duration longest_rest);
+    std::unique_ptr<Connection> take_idle(TimePoint now, Duration longest_idle);
     std::unique_ptr<Connection> connect(TimePoint deadline, std::error_code& error);
     void give_back(std::unique_ptr<Connection> connection);
     void discard(std::unique_ptr<Connection> connection);
@@ -93,13 +93,13 @@
     std::size_t open = 0;
 };
 
-std::unique_ptr<Connection> HttpClient::State::take_idle(TimePoint now, Duration longest_rest) {
+std::unique_ptr<Connection> HttpClient::State::take_idle(TimePoint now, Duration longest_idle) {
     while (!idle.empty()) {
         // The most recently used first: the least likely to have been closed.
         auto connection = std::move(idle.back());
         idle.pop_back();
         const auto rest =
-            std::min({longest_rest, connection->longest_rest, Duration(limits.idle_timeout_ms)});
+            std::min({longest_idle, connection->longest_idle, Duration(limits.idle_timeout_ms)});
         const bool expired = now - connection->idle_since > rest;
         if (limits.reuse_unclean || (!expired && !is_stale(*connection))) {
             return connection;
@@ -258,10 +258,10 @@
 std::optional<HttpResponse> HttpClient::run_exchange(HttpRequest& request, const ExchangeOptions& options,
                                                      std::size_t buffered_bytes, ExchangeProgress& progress,
                                                      std::error_code& error) {
-    auto connection = state_->take_idle(TimePoint::clock::now(), options.longest_rest);
+    auto connection = state_->take_idle(TimePoint::clock::now(), options.longest_idle);
     progress.connection_reused = connection != nullptr;
     if (connection) {
-        progress.rested = TimePoint::clock::now() - connection->idle_since;
+        progress.idle_for = TimePoint::clock::now() - connection->idle_since;
     }
     if (!connection) {
         connection = state_->connect(options.deadline, error);
@@ -302,7 +302,7 @@
         response.status = parser->get().result_int();
         response.fields = copy_end_to_end_fields(parser->get());
         response.peer_closes = !parser->keep_alive();
-        lease->longest_rest = announced_rest(parser->get()["Keep-Alive"]);
+        lease->longest_idle = announced_rest(parser->get()["Keep-Alive"]);
         if (options.expected_echo &&
             response.fields.find(options.expected_echo->name) != options.expected_echo->value) {
             error = make_error_code(ErrorKind::kBackendFailed);
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -35,7 +35,7 @@
     bool request_started = false;  ///< At least one byte may have been sent.
     bool connection_reused = false;
     bool answer_started = false;  ///< The answer's header came.
-    Duration rested{};            ///< How long the connection had been idle, if it was reused.
+    Duration idle_for{};          ///< How long the connection had been idle, if it was reused.
 };
 
 /// One exchange's bounds.
@@ -45,7 +45,7 @@
     /// A header line that the answer must repeat; an answer without it belongs to another request.
     std::optional<HeaderField> expected_echo = std::nullopt;
     /// Connections that rested longer than that aren't used for this exchange.
-    Duration longest_rest = Duration::max();
+    Duration longest_idle = Duration::max();
 };
 
 /// A pool of connections to one server. A connection goes back to the pool only after a whole, clean
--- a/src/sidecar/hop_client.cpp
+++ b/src/sidecar/hop_client.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::size_t kMostConnections = 512;
 constexpr milliseconds kConnectTimeout{300};
-constexpr milliseconds kConnectionRest{60'000};
+constexpr milliseconds kConnectionIdle{60'000};
 constexpr milliseconds kSilenceInBody{60'000};
 constexpr milliseconds kSilentPeer{3'000};
 /// How much longer than the request's own time the gate's answer is waited for.
@@ -17,7 +17,7 @@
     net::HttpPoolLimits limits;
     limits.connections = kMostConnections;
     limits.connect_timeout_ms = kConnectTimeout;
-    limits.idle_timeout_ms = kConnectionRest;
+    limits.idle_timeout_ms = kConnectionIdle;
     limits.body_timeout_ms = kSilenceInBody;
     limits.silence_timeout_ms = kSilentPeer;
     return limits;
--- a/src/sidecar/local_gate.cpp
+++ b/src/sidecar/local_gate.cpp
@@ -28,14 +28,14 @@
 constexpr double kFailureSample = 0.1;
 constexpr std::size_t kMostConnections = 256;
 constexpr milliseconds kConnectTimeout{500};
-constexpr milliseconds kConnectionRest{8'000};
+constexpr milliseconds kConnectionIdle{8'000};
 constexpr milliseconds kSilenceInBody{60'000};
 
 net::HttpPoolLimits pool_limits() {
     net::HttpPoolLimits limits;
     limits.connections = kMostConnections;
     limits.connect_timeout_ms = kConnectTimeout;
-    limits.idle_timeout_ms = kConnectionRest;
+    limits.idle_timeout_ms = kConnectionIdle;
     limits.body_timeout_ms = kSilenceInBody;
     return limits;
 }
@@ -203,7 +203,8 @@
         refused = refusal(HopOutcome::kNotSent, ErrorKind::kCrashesServers, Duration::zero());
     } else if (!turn) {
         refused = refusal(HopOutcome::kNotSent, ErrorKind::kQueueTimeout, server->latency);
-    } else if (!context_.has(Mechanism::kReachLimit) || connection::takeTry(server->reach, arrived)) {
+    } else if (!context_.has(Mechanism::kConnectBackoff) ||
+               connection::takeAttempt(server->backoff, arrived)) {
         refused = wait_for_admission(*server, call, id, deadline, cancel);
     } else {
         refused = refusal(HopOutcome::kNotSent, ErrorKind::kConnectFailed, Duration::zero());
--- a/src/sidecar/local_gate.hpp
+++ b/src/sidecar/local_gate.hpp
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "admission/server_gate.hpp"
-#include "connection/reach.hpp"
-#include "connection/rest_limit.hpp"
+#include "connection/connect_backoff.hpp"
+#include "connection/idle_limit.hpp"
 #include "hop/hop_header.hpp"
 #include "membership/peer_record.hpp"
 #include "net/fiber_event.hpp"
@@ -83,8 +83,8 @@
         std::unordered_map<std::uint64_t, std::shared_ptr<Waiter>> waiters;
         Duration latency{};  ///< Moving average of answers.
         selection::FailureShare failures;
-        connection::RestLimit rest;  ///< Of kept connections.
-        connection::Reach reach;
+        connection::IdleLimit idle_limit;  ///< Of kept connections.
+        connection::ConnectBackoff backoff;
     };
 
     /// A server's slots are others than before.
--- a/src/sidecar/server_exchange.cpp
+++ b/src/sidecar/server_exchange.cpp
@@ -16,7 +16,7 @@
 /// A kept connection that breaks sooner than that after a request was sent had been forgotten by the server.
 constexpr milliseconds kInstantLoss{20};
 /// A non-repeatable request isn't sent on a connection that rested longer: the server may be closing it.
-constexpr milliseconds kFreshRest{2'000};
+constexpr milliseconds kFreshIdle{2'000};
 /// How much longer than the request's own time an answer is waited for, so that the server's own one wins.
 constexpr milliseconds kAnswerSlack{20};
 /// Digests in one log line: 33 bytes each, and a server may have a hundred requests running when it ends.
@@ -36,11 +36,11 @@
     context_.dialect.write_server_call(request, {call.instance, call.caller, time_left});
     net::ExchangeOptions options{deadline + kAnswerSlack, cancel};
     options.expected_echo = context_.dialect.echoed_field(request_id);
-    if (context_.has(Mechanism::kRestLimit)) {
-        options.longest_rest = connection::longestRest(server.rest, now);
+    if (context_.has(Mechanism::kIdleLimit)) {
+        options.longest_idle = connection::longestIdle(server.idle_limit, now);
     }
     if (call.at_most_once) {
-        options.longest_rest = std::min<Duration>(options.longest_rest, kFreshRest);
+        options.longest_idle = std::min<Duration>(options.longest_idle, kFreshIdle);
     }
     // A connection that breaks at once may still have brought the request to the server: whether it is sent
     // again is the ingress's choice, which counts repeats.
@@ -78,19 +78,19 @@
     const auto now = TimePoint::clock::now();
     const bool cancelled = options.cancel != nullptr && options.cancel->cancelled();
     if (progress.connected) {
-        connection::noteConnected(server.reach);
+        connection::noteConnected(server.backoff);
     } else if (!cancelled && error != std::errc::too_many_files_open) {
-        connection::noteConnectFailed(server.reach, now);
+        connection::noteConnectFailed(server.backoff, now);
     }
     if (!response && !cancelled && progress.connection_reused && !progress.answer_started &&
         now - sent < kInstantLoss) {
-        connection::noteLost(server.rest, now, progress.rested);
+        connection::noteLost(server.idle_limit, now, progress.idle_for);
         log_event(Event::kConnectionForgotten,
                   {{"server", server.client.server().text()},
-                   {"rested_ms", std::to_string(to_milliseconds(progress.rested))},
+                   {"rested_ms", std::to_string(to_milliseconds(progress.idle_for))},
                    {"error", error.message()},
                    {"longest_rest_ms",
-                    std::to_string(to_milliseconds(connection::longestRest(server.rest, now)))}});
+                    std::to_string(to_milliseconds(connection::longestIdle(server.idle_limit, now)))}});
     }
     return response;
 }
