--- a/src/config/mechanisms.hpp
+++ b/src/config/mechanisms.hpp
@@ -29,7 +29,7 @@
     kOnsetReports,      ///< The first refusals after a calm time are told at once.
     kRetryAfterSpread,  ///< Early refusals name different times to come back.
     kHedging,           ///< A slow attempt is joined by another one.
-    kRepeats,           ///< Requests are sent again within the budget.
+    kRetries,           ///< Requests are sent again within the budget.
     kUsualServers,      ///< Each daemon prefers a few servers of each service.
     kZonePreference,    ///< Servers of the own zone are preferred.
     kColdServers,       ///< Servers that have just started get less.
--- a/src/config/sidecar_settings.cpp
+++ b/src/config/sidecar_settings.cpp
@@ -132,9 +132,9 @@
     reader.endpoint_if_given("servers.address", settings.server);
     reader.duration("servers.heartbeat_interval", settings.heartbeat_interval);
     reader.duration("sidecar.stop_grace", settings.stop_grace);
-    reader.number("repeats.ratio", settings.repeat_ratio);
-    reader.number("repeats.extra", settings.repeat_extra);
-    reader.duration("repeats.window", settings.repeat_window);
+    reader.number("repeats.ratio", settings.retry_ratio);
+    reader.number("repeats.extra", settings.retry_extra);
+    reader.duration("repeats.window", settings.retry_window);
     reader.duration("tenants.revocation", settings.key_revocation);
     if (!reader.flag("tenants.strict", true)) {
         settings.key_revocation = milliseconds(0);
--- a/src/config/sidecar_settings.hpp
+++ b/src/config/sidecar_settings.hpp
@@ -30,9 +30,9 @@
     Endpoint server;  ///< The server beside; port 0 if it isn't known before its first heartbeat.
     milliseconds heartbeat_interval{1'500};
     milliseconds stop_grace{6'000};
-    double repeat_ratio = 0.2;
-    double repeat_extra = 0;
-    milliseconds repeat_window{10'000};
+    double retry_ratio = 0.2;
+    double retry_extra = 0;
+    milliseconds retry_window{10'000};
     /// How long after the store acknowledged that a key was taken away it may still be served; 0 for no
     /// bound.
     milliseconds key_revocation{0};
--- a/src/hop/hop_header.cpp
+++ b/src/hop/hop_header.cpp
@@ -86,7 +86,7 @@
     append(text, "remaining_ms", static_cast<std::uint64_t>(request.remaining.count()));
     append(text, "longest_wait_ms", static_cast<std::uint64_t>(request.longest_wait.count()));
     append(text, "once", request.at_most_once ? 1 : 0);
-    append(text, "repeat_percent", request.repeat_percent);
+    append(text, "repeat_percent", request.retry_percent);
     append_unless_zero(text, "crashes", request.crashes);
     const bool is_plain = request.row.find_first_of(kReserved) == std::string::npos;
     append(text, "row", std::string_view(is_plain ? request.row : std::string()));
@@ -119,8 +119,8 @@
         read(fields, "instance", request.instance) && read(fields, "caller", request.caller) &&
         read(fields, "row", request.row) && read(fields, "priority", request.priority) &&
         read(fields, "remaining_ms", remaining_ms) && read(fields, "longest_wait_ms", longest_wait_ms) &&
-        read(fields, "once", once) && read(fields, "repeat_percent", request.repeat_percent) &&
-        read_unless_zero(fields, "crashes", request.crashes) && request.repeat_percent <= kMostPercent;
+        read(fields, "once", once) && read(fields, "repeat_percent", request.retry_percent) &&
+        read_unless_zero(fields, "crashes", request.crashes) && request.retry_percent <= kMostPercent;
     if (!whole) {
         return std::nullopt;
     }
--- a/src/hop/hop_header.hpp
+++ b/src/hop/hop_header.hpp
@@ -24,7 +24,7 @@
     milliseconds remaining{0};     ///< Time left until the request is given up.
     milliseconds longest_wait{0};  ///< Longest time it may wait at the gate.
     bool at_most_once = false;     ///< It must not run twice.
-    unsigned repeat_percent = 0;   ///< How likely it is a repeat, or made by a run that is one; 0 to 100.
+    unsigned retry_percent = 0;    ///< How likely it is a repeat, or made by a run that is one; 0 to 100.
     std::string row;  ///< The route and the request's rank; empty if it can't be written in a header line.
     unsigned crashes = 0;  ///< Servers in a row that are known to have crashed under it.
 };
--- a/src/retry/attempt_plan.cpp
+++ b/src/retry/attempt_plan.cpp
@@ -12,12 +12,12 @@
 /// How often a slow attempt looks for another server while there is none to join it.
 constexpr milliseconds kHedgePoll{50};
 /// A repeat isn't worth starting with less time left.
-constexpr milliseconds kLeastTimeToRepeat{20};
+constexpr milliseconds kLeastTimeToRetry{20};
 
 }  // namespace
 
-bool AttemptPlan::repeat_allowed(bool another_server) const {
-    return another_server && !repeat_refused_ && reached_ + running_ < terms_.most_servers;
+bool AttemptPlan::retry_allowed(bool another_server) const {
+    return another_server && !retry_refused_ && reached_ + running_ < terms_.most_servers;
 }
 
 AttemptStep AttemptPlan::next(TimePoint now, bool another_server) const {
@@ -27,12 +27,12 @@
     if (now >= terms_.deadline) {
         return AttemptStep::kTimeUp;
     }
-    const bool time_to_repeat = now + kLeastTimeToRepeat < terms_.deadline;
+    const bool time_to_retry = now + kLeastTimeToRetry < terms_.deadline;
     if (running_ > 0) {
         const bool overdue = now - last_launch_ >= terms_.hedge_after;
-        const bool hedge = terms_.may_hedge && terms_.may_repeat && overdue && time_to_repeat &&
-                           repeat_allowed(another_server);
-        return hedge ? AttemptStep::kLaunchRepeat : AttemptStep::kWait;
+        const bool hedge =
+            terms_.may_hedge && terms_.may_retry && overdue && time_to_retry && retry_allowed(another_server);
+        return hedge ? AttemptStep::kLaunchRetry : AttemptStep::kWait;
     }
     const bool has_not_run = unknown_ == 0 && failed_answers_ == 0;
     if (waits_for_server(now, another_server)) {
@@ -43,9 +43,9 @@
         const bool goes_on = another_server && in_time && launched_ < kMostUnsent;
         return goes_on ? AttemptStep::kLaunch : AttemptStep::kRefuse;
     }
-    const bool may_go_on = has_not_run || terms_.may_repeat;
-    if (may_go_on && time_to_repeat && repeat_allowed(another_server)) {
-        return AttemptStep::kLaunchRepeat;
+    const bool may_go_on = has_not_run || terms_.may_retry;
+    if (may_go_on && time_to_retry && retry_allowed(another_server)) {
+        return AttemptStep::kLaunchRetry;
     }
     if (failed_answers_ > 0) {
         return AttemptStep::kDeliver;
@@ -62,8 +62,8 @@
     if (running_ == 0) {
         return std::min<TimePoint>(terms_.deadline, now + kServerPoll);
     }
-    const bool may_hedge = terms_.may_hedge && terms_.may_repeat && !repeat_refused_ &&
-                           reached_ + running_ < terms_.most_servers;
+    const bool may_hedge =
+        terms_.may_hedge && terms_.may_retry && !retry_refused_ && reached_ + running_ < terms_.most_servers;
     if (!may_hedge) {
         return terms_.deadline;
     }
@@ -73,11 +73,11 @@
     return std::min<TimePoint>(terms_.deadline, now < hedge_at ? hedge_at : now + kHedgePoll);
 }
 
-RepeatReason AttemptPlan::repeat_reason() const {
+RetryReason AttemptPlan::retry_reason() const {
     if (running_ > 0) {
-        return RepeatReason::kSlow;
+        return RetryReason::kSlow;
     }
-    return failed_answers_ > 0 ? RepeatReason::kFailedAnswer : RepeatReason::kNoAnswer;
+    return failed_answers_ > 0 ? RetryReason::kFailedAnswer : RetryReason::kNoAnswer;
 }
 
 void AttemptPlan::on_launched(TimePoint now) {
@@ -88,7 +88,7 @@
 
 void AttemptPlan::on_outcome(AttemptOutcome outcome) {
     --running_;
-    repeat_refused_ = false;
+    retry_refused_ = false;
     switch (outcome) {
         case AttemptOutcome::kAnswered:
             answered_ = true;
--- a/src/retry/attempt_plan.hpp
+++ b/src/retry/attempt_plan.hpp
@@ -9,7 +9,7 @@
 
 /// What bounds the attempts of one request.
 struct AttemptTerms {
-    bool may_repeat = false;    ///< The request may run more than once.
+    bool may_retry = false;     ///< The request may run more than once.
     unsigned most_servers = 1;  ///< Most servers that the request may reach.
     TimePoint deadline;
     /// A request that no server was reached with until then is refused: its caller is told when to come back,
@@ -31,8 +31,8 @@
 };
 
 enum class AttemptStep {
-    kLaunch,        ///< Send it; no server was reached yet.
-    kLaunchRepeat,  ///< Send it again, if the budget has a repeat.
+    kLaunch,       ///< Send it; no server was reached yet.
+    kLaunchRetry,  ///< Send it again, if the budget has a repeat.
     kWait,
     kDeliver,  ///< Give the answer.
     kRefuse,   ///< It has not run and won't: refuse with a time to come back.
@@ -52,7 +52,7 @@
 
     void on_launched(TimePoint now);
     /// No repeat was to be had; none is asked for until an attempt has ended.
-    void on_repeat_refused() { repeat_refused_ = true; }
+    void on_retry_refused() { retry_refused_ = true; }
     void on_outcome(AttemptOutcome outcome);
     /// An attempt was cancelled before it ended. One that hasn't begun to be sent never will be.
     void on_given_up(bool was_sent) {
@@ -60,14 +60,14 @@
     }
 
     /// Why the next repeat would be one.
-    RepeatReason repeat_reason() const;
+    RetryReason retry_reason() const;
 
     unsigned running() const { return running_; }
     /// Whether the request may have run.
     bool may_have_run() const { return unknown_ > 0 || failed_answers_ > 0 || running_ > 0; }
 
   private:
-    bool repeat_allowed(bool another_server) const;
+    bool retry_allowed(bool another_server) const;
     bool waits_for_server(TimePoint now, bool another_server) const;
 
     AttemptTerms terms_;
@@ -77,7 +77,7 @@
     unsigned unknown_ = 0;
     unsigned failed_answers_ = 0;
     bool answered_ = false;
-    bool repeat_refused_ = false;
+    bool retry_refused_ = false;
     TimePoint last_launch_;
 };
 
--- a/src/retry/retry_ledger.cpp
+++ b/src/retry/retry_ledger.cpp
@@ -46,7 +46,7 @@
         return lend(now, ledger, DrawVerdict::kFirst);
     }
     if (!request.repeatable && nested->second.may_have_run) {
-        return refusal(DrawVerdict::kNotRepeated);
+        return refusal(DrawVerdict::kNotRetryable);
     }
     if (ledger.remaining == 0) {
         return refusal(DrawVerdict::kExhausted);
@@ -54,7 +54,7 @@
     nested->second.ever_ran = nested->second.ever_ran || nested->second.may_have_run;
     nested->second.may_have_run = true;
     --ledger.remaining;
-    return lend(now, ledger, DrawVerdict::kRepeat);
+    return lend(now, ledger, DrawVerdict::kRetry);
 }
 
 DrawReply RetryLedger::lend(TimePoint now, Ledger& ledger, DrawVerdict verdict) {
--- a/src/retry/retry_ledger.hpp
+++ b/src/retry/retry_ledger.hpp
@@ -13,12 +13,12 @@
 namespace anisehold::retry {
 
 enum class DrawVerdict : std::uint8_t {
-    kFirst,        ///< First time that this call makes this nested call.
-    kRepeat,       ///< A retry by the calling layer; it was charged.
-    kExhausted,    ///< A retry, and nothing is left.
-    kNotRepeated,  ///< A retry of a nested call that may not be repeated.
-    kEnded,        ///< The calling call has ended; nobody waits for the answer.
-    kUnknownCall,  ///< This daemon has no such call.
+    kFirst,         ///< First time that this call makes this nested call.
+    kRetry,         ///< A retry by the calling layer; it was charged.
+    kExhausted,     ///< A retry, and nothing is left.
+    kNotRetryable,  ///< A retry of a nested call that may not be repeated.
+    kEnded,         ///< The calling call has ended; nobody waits for the answer.
+    kUnknownCall,   ///< This daemon has no such call.
 };
 
 /// Asks the home ledger whether a nested call may go on.
--- a/src/retry/window_budget.cpp
+++ b/src/retry/window_budget.cpp
@@ -19,7 +19,7 @@
 }
 
 void WindowBudget::drop_old(TimePoint now, Counts& counts) const {
-    for (auto* sum : {&counts.requests, &counts.repeats, &counts.of_extra}) {
+    for (auto* sum : {&counts.requests, &counts.retries, &counts.of_extra}) {
         while (!sum->samples.empty() && now - sum->samples.front().time >= terms_.window) {
             sum->total -= sum->samples.front().weight;
             sum->samples.pop_front();
@@ -34,7 +34,7 @@
     auto& counts = services_[service];
     drop_old(now, counts);
     add(counts.requests, now, 1 - inherited);
-    add(counts.repeats, now, inherited);
+    add(counts.retries, now, inherited);
     const double earned = terms_.no_answer_share * terms_.ratio * (1 - inherited) - inherited;
     counts.savings = std::clamp(counts.savings + earned, 0.0, most_savings(counts));
 }
@@ -44,17 +44,17 @@
     return std::max(1.0, terms_.burst_share * terms_.ratio * counts.requests.total);
 }
 
-bool WindowBudget::try_repeat(TimePoint now, const std::string& service, std::size_t members,
-                              RepeatReason reason) {
+bool WindowBudget::try_retry(TimePoint now, const std::string& service, std::size_t members,
+                             RetryReason reason) {
     auto& counts = services_[service];
     drop_old(now, counts);
     const bool first_window = now - started_ < terms_.window;
     const double share =
         first_window ? 0 : terms_.extra / static_cast<double>(std::max<std::size_t>(members, 1));
     const double spent_share =
-        reason == RepeatReason::kNoAnswer ? terms_.no_answer_share : terms_.doubtful_share;
+        reason == RetryReason::kNoAnswer ? terms_.no_answer_share : terms_.doubtful_share;
     const double bound = spent_share * (terms_.ratio * counts.requests.total + share);
-    if (counts.repeats.total + 1 > bound + kRounding) {
+    if (counts.retries.total + 1 > bound + kRounding) {
         return false;
     }
     if (counts.savings + kRounding >= 1) {
@@ -64,7 +64,7 @@
     } else {
         return false;
     }
-    add(counts.repeats, now, 1);
+    add(counts.retries, now, 1);
     return true;
 }
 
--- a/src/retry/window_budget.hpp
+++ b/src/retry/window_budget.hpp
@@ -11,7 +11,7 @@
 namespace anisehold::retry {
 
 /// Why a request is repeated; the less certain the use, the smaller the part of the budget.
-enum class RepeatReason {
+enum class RetryReason {
     kNoAnswer,      ///< The attempt ended without an answer, or the server declined it.
     kFailedAnswer,  ///< The server answered that it failed; often something below it did.
     kSlow,          ///< The attempt takes long; it may still be answered.
@@ -52,7 +52,7 @@
     /// `inherited` in [0, 1]: how likely the request is made by a repeated run.
     void on_request(TimePoint now, const std::string& service, double inherited = 0);
     /// Takes one repeat; false if the budget has none left. `members` is the number of daemons in the fleet.
-    bool try_repeat(TimePoint now, const std::string& service, std::size_t members, RepeatReason reason);
+    bool try_retry(TimePoint now, const std::string& service, std::size_t members, RetryReason reason);
 
     void set_terms(const WindowBudgetTerms& terms) { terms_ = terms; }
 
@@ -68,7 +68,7 @@
     };
     struct Counts {
         Sum requests;  ///< Not those that count as repeats.
-        Sum repeats;
+        Sum retries;
         Sum of_extra;        ///< Repeats that the extra paid for.
         double savings = 0;  ///< Repeats that requests have earned and that weren't spent.
     };
--- a/src/routing/configuration.hpp
+++ b/src/routing/configuration.hpp
@@ -15,15 +15,15 @@
 namespace anisehold::routing {
 
 /// What may be repeated.
-enum class RepeatRule {
-    kRepeatable,   ///< May run more than once.
+enum class RetryRule {
+    kRetryable,    ///< May run more than once.
     kAtMostOnce,   ///< Each client attempt runs at most once.
     kLargeAnswer,  ///< Repeatable, with a large answer.
 };
 
 /// Whether a request under this rule may run more than once.
-inline bool may_repeat(RepeatRule rule) {
-    return rule != RepeatRule::kAtMostOnce;
+inline bool may_retry(RetryRule rule) {
+    return rule != RetryRule::kAtMostOnce;
 }
 
 /// One part of a weighted split.
@@ -39,7 +39,7 @@
     std::string name;
     std::string host;
     std::string path_prefix;  ///< Begins and ends with a slash.
-    RepeatRule repeat = RepeatRule::kAtMostOnce;
+    RetryRule retry = RetryRule::kAtMostOnce;
     milliseconds timeout{0};         ///< Longest time a request is held.
     milliseconds target_latency{0};  ///< Time within which an answer is worth most.
     unsigned priority = 0;           ///< 0 is the most important.
--- a/src/routing/handles/ledger_route.cpp
+++ b/src/routing/handles/ledger_route.cpp
@@ -15,11 +15,11 @@
 std::optional<CallResult> refusal_for(DrawVerdict verdict) {
     switch (verdict) {
         case DrawVerdict::kFirst:
-        case DrawVerdict::kRepeat:
+        case DrawVerdict::kRetry:
             return std::nullopt;
         case DrawVerdict::kExhausted:
             return CallResult::failure(ErrorKind::kRetriesExhausted, kRetryAfter);
-        case DrawVerdict::kNotRepeated:
+        case DrawVerdict::kNotRetryable:
             return CallResult::failure(ErrorKind::kOutcomeUnknown);
         case DrawVerdict::kEnded: {
             auto result = CallResult::failure(ErrorKind::kCancelled);
--- a/src/sidecar/call_attempts.cpp
+++ b/src/sidecar/call_attempts.cpp
@@ -65,7 +65,7 @@
 retry::AttemptTerms CallIngress::terms_of(const Call& call, const net::HttpRequest& request, TimePoint now) {
     retry::AttemptTerms terms;
     // A body that is streamed can be sent once only.
-    terms.may_repeat = may_repeat(call.terms.repeat) && request.body.whole();
+    terms.may_retry = may_retry(call.terms.retry) && request.body.whole();
     terms.most_servers = request.body.whole() ? call.terms.most_servers : 1;
     terms.deadline = call.deadline;
     terms.refuse_unsent_at = call.received + call.terms.target_latency / kWaitPart;
@@ -93,11 +93,11 @@
 
 net::HttpResponse CallIngress::run(Call& call, net::HttpRequest& request, net::CancelSignal& cancel) {
     const bool is_root = context_.origins.is_called_by_clients(call.route);
-    call.inherited_repeat = is_root ? 0 : gate_.repeat_share();
+    call.inherited_retry = is_root ? 0 : gate_.retry_share();
     if (!is_root) {
         overload::noteCallMade(context_.work, call.received, call.row);
     }
-    budget_.on_request(call.received, call.service, call.inherited_repeat);
+    budget_.on_request(call.received, call.service, call.inherited_retry);
     Flight flight(terms_of(call, request, call.received));
     flight.streamed = !request.body.whole();
     flight.board->request = flight.streamed ? std::move(request) : copy_of(request);
@@ -109,7 +109,7 @@
         const auto now = TimePoint::clock::now();
         const auto* server = choose_server(call, now, flight.plan.running());
         step = flight.plan.next(now, server != nullptr);
-        const bool sends = step == AttemptStep::kLaunch || step == AttemptStep::kLaunchRepeat;
+        const bool sends = step == AttemptStep::kLaunch || step == AttemptStep::kLaunchRetry;
         if (sends && crashes_.is_condemned(now, call.identity)) {
             return fail(call, {ErrorKind::kCrashesServers}, flight.plan.may_have_run());
         }
@@ -125,22 +125,22 @@
 
 bool CallIngress::advance(Call& call, Flight& flight, AttemptStep step, const KnownServer* server,
                           TimePoint now) {
-    const auto send = [&](double repeat) {
-        launch(call, flight, *server, repeat);
+    const auto send = [&](double retry) {
+        launch(call, flight, *server, retry);
         flight.plan.on_launched(now);
     };
     switch (step) {
         case AttemptStep::kLaunch:
-            send(call.inherited_repeat);
+            send(call.inherited_retry);
             return true;
-        case AttemptStep::kLaunchRepeat:
-            if (context_.has(Mechanism::kRepeats) &&
-                budget_.try_repeat(now, call.service, directory_.known_count() + 1,
-                                   flight.plan.repeat_reason())) {
+        case AttemptStep::kLaunchRetry:
+            if (context_.has(Mechanism::kRetries) &&
+                budget_.try_retry(now, call.service, directory_.known_count() + 1,
+                                  flight.plan.retry_reason())) {
                 context_.metrics.count_retry(call.service);
                 send(1);
             } else {
-                flight.plan.on_repeat_refused();
+                flight.plan.on_retry_refused();
             }
             return true;
         case AttemptStep::kWait:
@@ -151,7 +151,7 @@
     }
 }
 
-void CallIngress::launch(Call& call, Flight& flight, const KnownServer& server, double repeat) {
+void CallIngress::launch(Call& call, Flight& flight, const KnownServer& server, double retry) {
     const auto& board = flight.board;
     const auto attempt = std::make_shared<Attempt>();
     attempt->server = server;
@@ -166,8 +166,8 @@
     hop_call.remaining = milliseconds(std::max(1LL, to_milliseconds(call.deadline - attempt->started)));
     const auto wait_ends = call.received + call.terms.target_latency / kWaitPart;
     hop_call.longest_wait = std::max(kLeastWait, milliseconds(to_milliseconds(wait_ends - attempt->started)));
-    hop_call.repeat_percent = static_cast<unsigned>(std::lround(repeat * kPercent));
-    hop_call.at_most_once = !may_repeat(call.terms.repeat);
+    hop_call.retry_percent = static_cast<unsigned>(std::lround(retry * kPercent));
+    hop_call.at_most_once = !may_retry(call.terms.retry);
     hop_call.crashes = crashes_.crashes_of(attempt->started, call.identity);
     hop_call.row = call.row;
     net::EventLoop::spawn([this, board, attempt, hop_call, streamed = flight.streamed,
--- a/src/sidecar/call_ingress.cpp
+++ b/src/sidecar/call_ingress.cpp
@@ -50,9 +50,9 @@
 
 retry::WindowBudgetTerms budget_terms(const config::SidecarSettings& settings) {
     retry::WindowBudgetTerms terms;
-    terms.ratio = settings.repeat_ratio;
-    terms.extra = settings.repeat_extra;
-    terms.window = settings.repeat_window;
+    terms.ratio = settings.retry_ratio;
+    terms.extra = settings.retry_extra;
+    terms.window = settings.retry_window;
     return terms;
 }
 
--- a/src/sidecar/call_ingress.hpp
+++ b/src/sidecar/call_ingress.hpp
@@ -46,10 +46,10 @@
         std::string row;  ///< The route, and the request's rank: what the limit of root requests tells apart.
         std::string service;
         routing::HostRoute terms;
-        tenancy::TenantName tenant;   ///< Empty for a request that belongs to none.
-        bool hides_key = false;       ///< The server is told a tenant in place of the key.
-        bool holds_token = false;     ///< It counts against its tenant's quota.
-        double inherited_repeat = 0;  ///< How likely the run that makes this call is a repeat.
+        tenancy::TenantName tenant;  ///< Empty for a request that belongs to none.
+        bool hides_key = false;      ///< The server is told a tenant in place of the key.
+        bool holds_token = false;    ///< It counts against its tenant's quota.
+        double inherited_retry = 0;  ///< How likely the run that makes this call is a repeat.
         std::uint64_t configuration_version = 0;
         TimePoint received;
         TimePoint deadline;
@@ -107,7 +107,7 @@
     bool advance(Call& call, Flight& flight, retry::AttemptStep step, const membership::KnownServer* server,
                  TimePoint now);
     /// `repeat` in [0, 1]: how likely the attempt counts as a repeat at its service.
-    void launch(Call& call, Flight& flight, const membership::KnownServer& server, double repeat);
+    void launch(Call& call, Flight& flight, const membership::KnownServer& server, double retry);
     /// Feeds ended attempts to the plan.
     void take_outcomes(Call& call, Flight& flight);
     void cancel_attempts(Call& call, Flight& flight);
--- a/src/sidecar/local_gate.cpp
+++ b/src/sidecar/local_gate.cpp
@@ -250,14 +250,14 @@
                                    TimePoint deadline, net::CancelSignal* cancel,
                                    net::ExchangeProgress& progress) {
     ++running_;
-    running_repeats_ += call.repeat_percent;
+    running_retries_ += call.retry_percent;
     const auto now = TimePoint::clock::now();
     overload::noteRunBegan(context_.work, now, call.row);
     server.crash.began(id, {{identity, crashes_.crashes_of(now, identity)}, &progress});
     auto answer = exchange(server, request, call, deadline, cancel, progress);
     server.crash.ended(id);
     --running_;
-    running_repeats_ -= call.repeat_percent;
+    running_retries_ -= call.retry_percent;
     overload::noteRunEnded(context_.work, TimePoint::clock::now(), call.row);
     if (answer.result.outcome == HopOutcome::kAnswered) {
         crashes_.on_answered(identity);
@@ -347,8 +347,8 @@
     }
 }
 
-double LocalGate::repeat_share() const {
-    return running_ > 0 ? running_repeats_ / (kPercent * running_) : 0;
+double LocalGate::retry_share() const {
+    return running_ > 0 ? running_retries_ / (kPercent * running_) : 0;
 }
 
 void LocalGate::note_use(Server& server, TimePoint now) const {
--- a/src/sidecar/local_gate.hpp
+++ b/src/sidecar/local_gate.hpp
@@ -62,7 +62,7 @@
     std::vector<membership::ServerRecord> records(TimePoint now) const;
     std::size_t in_flight() const { return in_flight_; }
     /// Share of the requests at the server that are repeats, or made by runs that are.
-    double repeat_share() const;
+    double retry_share() const;
 
   private:
     struct Waiter {
@@ -132,7 +132,7 @@
     std::uint64_t next_id_ = 1;
     std::size_t in_flight_ = 0;
     unsigned running_ = 0;          ///< Requests at the server.
-    unsigned running_repeats_ = 0;  ///< The sum of their `repeat_percent`.
+    unsigned running_retries_ = 0;  ///< The sum of their `repeat_percent`.
 };
 
 }  // namespace anisehold::sidecar
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -373,9 +373,9 @@
     settings.service = loaded.settings.service;
     settings.heartbeat_interval = loaded.settings.heartbeat_interval;
     settings.stop_grace = loaded.settings.stop_grace;
-    settings.repeat_ratio = loaded.settings.repeat_ratio;
-    settings.repeat_extra = loaded.settings.repeat_extra;
-    settings.repeat_window = loaded.settings.repeat_window;
+    settings.retry_ratio = loaded.settings.retry_ratio;
+    settings.retry_extra = loaded.settings.retry_extra;
+    settings.retry_window = loaded.settings.retry_window;
     settings.key_revocation = loaded.settings.key_revocation;
     parts_->ingress.apply_settings();
     log_event(Event::kSettingsReloaded, {{"service", settings.service}});
--- a/tests/incidents/chain_model.cpp
+++ b/tests/incidents/chain_model.cpp
@@ -224,7 +224,7 @@
     const bool mayRepeat = ++call->reached < std::min<std::size_t> (mostServers, servers.size());
 
     if (mayRepeat &&
-        budgets[call->daemon].try_repeat (now, endService, daemons.size(), retry::RepeatReason::kNoAnswer))
+        budgets[call->daemon].try_retry (now, endService, daemons.size(), retry::RetryReason::kNoAnswer))
         return tryServers (call);
 
     overload::noteCallEnded (daemons[call->daemon], endService, false);
--- a/tests/incidents/restart_repeats_test.cpp
+++ b/tests/incidents/restart_repeats_test.cpp
@@ -77,7 +77,7 @@
 
             for (unsigned tried = 1; tried < mostServers && draw() < declined; ++tried)
             {
-                if (! fleet[daemon]->try_repeat (now, "s", numDaemons, RepeatReason::kNoAnswer))
+                if (! fleet[daemon]->try_retry (now, "s", numDaemons, RetryReason::kNoAnswer))
                     break;
 
                 repeats.add (now);
--- a/tests/unit/config/sidecar_settings_test.cpp
+++ b/tests/unit/config/sidecar_settings_test.cpp
@@ -41,8 +41,8 @@
     REQUIRE(result.errors.empty());
     CHECK(result.settings.calls.port == 1001);
     CHECK(result.settings.stop_grace == milliseconds(6'000));
-    CHECK(result.settings.repeat_ratio == Approx(0.25));
-    CHECK(result.settings.repeat_extra == Approx(57.0));
+    CHECK(result.settings.retry_ratio == Approx(0.25));
+    CHECK(result.settings.retry_extra == Approx(57.0));
 }
 
 TEST_CASE("what is wrong is named with its place") {
--- a/tests/unit/platform/dialect_test.cpp
+++ b/tests/unit/platform/dialect_test.cpp
@@ -103,12 +103,12 @@
     CHECK(configuration.services.at("s1").most_connections == 364);
     const auto* one = configuration.find("a.example", "/x/1");
     REQUIRE(one != nullptr);
-    CHECK(one->repeat == routing::RepeatRule::kAtMostOnce);
+    CHECK(one->retry == routing::RetryRule::kAtMostOnce);
     CHECK(one->timeout == milliseconds(1'200));
     CHECK(one->most_servers == 2);
     const auto* two = configuration.find("a.example", "/y/1");
     REQUIRE(two != nullptr);
-    CHECK(two->repeat == routing::RepeatRule::kLargeAnswer);
+    CHECK(two->retry == routing::RetryRule::kLargeAnswer);
     CHECK(two->parts.size() == 2);
     CHECK(two->most_servers == 1);
 }
--- a/tests/unit/retry/attempt_plan_test.cpp
+++ b/tests/unit/retry/attempt_plan_test.cpp
@@ -10,8 +10,8 @@
 const TimePoint kStart = TimePoint() + seconds(100);
 const TimePoint kDeadline = kStart + seconds(2);
 
-AttemptPlan plan(bool may_repeat, unsigned most_servers = 2) {
-    return AttemptPlan({may_repeat, most_servers, kDeadline, TimePoint::max(), milliseconds(300)});
+AttemptPlan plan(bool may_retry, unsigned most_servers = 2) {
+    return AttemptPlan({may_retry, most_servers, kDeadline, TimePoint::max(), milliseconds(300)});
 }
 
 }  // namespace
@@ -43,8 +43,8 @@
     auto request = plan(false);
     request.on_launched(kStart);
     request.on_outcome(AttemptOutcome::kRefusedByServer);
-    CHECK(request.next(kStart, true) == AttemptStep::kLaunchRepeat);
-    request.on_repeat_refused();
+    CHECK(request.next(kStart, true) == AttemptStep::kLaunchRetry);
+    request.on_retry_refused();
     CHECK(request.next(kStart, true) == AttemptStep::kRefuse);
 }
 
@@ -52,7 +52,7 @@
     auto request = plan(true, 2);
     request.on_launched(kStart);
     request.on_outcome(AttemptOutcome::kUnknown);
-    CHECK(request.next(kStart, true) == AttemptStep::kLaunchRepeat);
+    CHECK(request.next(kStart, true) == AttemptStep::kLaunchRetry);
     request.on_launched(kStart);
     request.on_outcome(AttemptOutcome::kUnknown);
     CHECK(request.next(kStart, true) == AttemptStep::kFail);
@@ -62,8 +62,8 @@
     auto request = plan(true, 2);
     request.on_launched(kStart);
     request.on_outcome(AttemptOutcome::kFailedAnswer);
-    CHECK(request.next(kStart, true) == AttemptStep::kLaunchRepeat);
-    request.on_repeat_refused();
+    CHECK(request.next(kStart, true) == AttemptStep::kLaunchRetry);
+    request.on_retry_refused();
     CHECK(request.next(kStart, true) == AttemptStep::kDeliver);
 }
 
@@ -72,7 +72,7 @@
     request.on_launched(kStart);
     CHECK(request.next(kStart + milliseconds(299), true) == AttemptStep::kWait);
     CHECK(request.wait_until(kStart) == kStart + milliseconds(300));
-    CHECK(request.next(kStart + milliseconds(300), true) == AttemptStep::kLaunchRepeat);
+    CHECK(request.next(kStart + milliseconds(300), true) == AttemptStep::kLaunchRetry);
     request.on_launched(kStart + milliseconds(300));
     CHECK(request.next(kStart + seconds(1), true) == AttemptStep::kWait);
     CHECK(request.wait_until(kStart) == kDeadline);
@@ -83,11 +83,11 @@
 TEST_CASE("a refused repeat is not asked for again until something ends") {
     auto request = plan(true, 3);
     request.on_launched(kStart);
-    request.on_repeat_refused();
+    request.on_retry_refused();
     CHECK(request.next(kStart + seconds(1), true) == AttemptStep::kWait);
     CHECK(request.wait_until(kStart) == kDeadline);
     request.on_outcome(AttemptOutcome::kUnknown);
-    CHECK(request.next(kStart + seconds(1), true) == AttemptStep::kLaunchRepeat);
+    CHECK(request.next(kStart + seconds(1), true) == AttemptStep::kLaunchRetry);
 }
 
 TEST_CASE("nothing is started when the time is up") {
@@ -102,13 +102,13 @@
 TEST_CASE("the reason of a repeat is told") {
     auto slow = plan(true);
     slow.on_launched(kStart);
-    CHECK(slow.repeat_reason() == RepeatReason::kSlow);
+    CHECK(slow.retry_reason() == RetryReason::kSlow);
     slow.on_outcome(AttemptOutcome::kUnknown);
-    CHECK(slow.repeat_reason() == RepeatReason::kNoAnswer);
+    CHECK(slow.retry_reason() == RetryReason::kNoAnswer);
     auto failed = plan(true);
     failed.on_launched(kStart);
     failed.on_outcome(AttemptOutcome::kFailedAnswer);
-    CHECK(failed.repeat_reason() == RepeatReason::kFailedAnswer);
+    CHECK(failed.retry_reason() == RetryReason::kFailedAnswer);
 }
 
 TEST_CASE("a request that waited at gates for long is refused instead of waiting at the next") {
--- a/tests/unit/retry/retry_ledger_test.cpp
+++ b/tests/unit/retry/retry_ledger_test.cpp
@@ -50,7 +50,7 @@
     const auto first = ledger.draw(at_ms(0), {"call", 1, true});
     ledger.settle(settlement(first, 1, 0));
     const auto second = ledger.draw(at_ms(0), {"call", 1, true});
-    CHECK(second.verdict == DrawVerdict::kRepeat);
+    CHECK(second.verdict == DrawVerdict::kRetry);
     CHECK(second.lent == 0);
     ledger.settle(settlement(second, 1, 0));
     CHECK(ledger.draw(at_ms(0), {"call", 1, true}).verdict == DrawVerdict::kExhausted);
@@ -74,14 +74,14 @@
     RetryLedger ledger;
     ledger.open("call", terms(3));
     const auto first = ledger.draw(at_ms(0), {"call", 1, false});
-    CHECK(ledger.draw(at_ms(0), {"call", 1, false}).verdict == DrawVerdict::kNotRepeated);
+    CHECK(ledger.draw(at_ms(0), {"call", 1, false}).verdict == DrawVerdict::kNotRetryable);
     auto not_run = settlement(first, 1, 0);
     not_run.not_run = true;
     ledger.settle(not_run);
     const auto second = ledger.draw(at_ms(0), {"call", 1, false});
-    CHECK(second.verdict == DrawVerdict::kRepeat);
+    CHECK(second.verdict == DrawVerdict::kRetry);
     ledger.settle(settlement(second, 1, 0));
-    CHECK(ledger.draw(at_ms(0), {"call", 1, false}).verdict == DrawVerdict::kNotRepeated);
+    CHECK(ledger.draw(at_ms(0), {"call", 1, false}).verdict == DrawVerdict::kNotRetryable);
 }
 
 TEST_CASE("the report tells whether a nested call may have run") {
@@ -129,7 +129,7 @@
             } else {
                 for (int attempt = 0; attempt < 4; ++attempt) {
                     const auto loan = ledger.draw(at_ms(0), {call_id, 1, true});
-                    if (loan.verdict != DrawVerdict::kFirst && loan.verdict != DrawVerdict::kRepeat) {
+                    if (loan.verdict != DrawVerdict::kFirst && loan.verdict != DrawVerdict::kRetry) {
                         break;
                     }
                     const auto used = run(layer + 1, loan.lent);
--- a/tests/unit/retry/window_budget_test.cpp
+++ b/tests/unit/retry/window_budget_test.cpp
@@ -19,7 +19,7 @@
 
 unsigned repeats_at(WindowBudget& budget, TimePoint now, std::size_t members) {
     unsigned count = 0;
-    while (budget.try_repeat(now, "s", members, RepeatReason::kNoAnswer)) {
+    while (budget.try_retry(now, "s", members, RetryReason::kNoAnswer)) {
         ++count;
     }
     return count;
@@ -30,7 +30,7 @@
     int count = 0;
     for (int request = 0; request < requests; ++request) {
         budget.on_request(kStart, "s", inherited);
-        count += budget.try_repeat(kStart, "s", 1, RepeatReason::kNoAnswer) ? 1 : 0;
+        count += budget.try_retry(kStart, "s", 1, RetryReason::kNoAnswer) ? 1 : 0;
     }
     return count;
 }
@@ -39,17 +39,17 @@
 
 TEST_CASE("a new process has no share of the extra in its first window") {
     WindowBudget budget(terms(), kStart);
-    CHECK_FALSE(budget.try_repeat(kStart + seconds(9), "s", 1, RepeatReason::kNoAnswer));
-    CHECK(budget.try_repeat(kStart + seconds(10), "s", 1, RepeatReason::kNoAnswer));
+    CHECK_FALSE(budget.try_retry(kStart + seconds(9), "s", 1, RetryReason::kNoAnswer));
+    CHECK(budget.try_retry(kStart + seconds(10), "s", 1, RetryReason::kNoAnswer));
 }
 
 TEST_CASE("own requests bring repeats, and leave with their window") {
     WindowBudget budget(terms(), kStart);
     // Spent as they are earned: one in ten.
     CHECK(repeats_along(budget, 100) == 10);
-    CHECK_FALSE(budget.try_repeat(kStart + seconds(5), "s", 1000, RepeatReason::kNoAnswer));
+    CHECK_FALSE(budget.try_retry(kStart + seconds(5), "s", 1000, RetryReason::kNoAnswer));
     // After the window both the requests and the repeats are gone.
-    CHECK_FALSE(budget.try_repeat(kStart + seconds(10), "s", 1000, RepeatReason::kNoAnswer));
+    CHECK_FALSE(budget.try_retry(kStart + seconds(10), "s", 1000, RetryReason::kNoAnswer));
 }
 
 TEST_CASE("a tenth of the bound is saved up for a sudden need, and no more") {
@@ -58,13 +58,13 @@
         budget.on_request(kStart, "s");
     }
     CHECK(repeats_at(budget, kStart, 1) == 2);
-    CHECK_FALSE(budget.try_repeat(kStart + seconds(5), "s", 1000, RepeatReason::kNoAnswer));
+    CHECK_FALSE(budget.try_retry(kStart + seconds(5), "s", 1000, RetryReason::kNoAnswer));
     // What is earned from then on can be spent.
     for (int request = 0; request < 11; ++request) {
         budget.on_request(kStart + seconds(6), "s");
     }
     CHECK(repeats_at(budget, kStart + seconds(6), 1) == 1);
-    CHECK_FALSE(budget.try_repeat(kStart + seconds(20), "s", 1000, RepeatReason::kNoAnswer));
+    CHECK_FALSE(budget.try_retry(kStart + seconds(20), "s", 1000, RetryReason::kNoAnswer));
 }
 
 TEST_CASE("where requests are few, one repeat is saved up") {
@@ -80,7 +80,7 @@
     for (int request = 0; request < 20; ++request) {
         budget.on_request(kStart, "other");
     }
-    CHECK_FALSE(budget.try_repeat(kStart, "s", 1, RepeatReason::kNoAnswer));
+    CHECK_FALSE(budget.try_retry(kStart, "s", 1, RetryReason::kNoAnswer));
 }
 
 TEST_CASE("a fleet never passes the bound in any window, whatever restarts") {
@@ -105,7 +105,7 @@
             fleet[member]->on_request(now, "s");
             requests.push_back(now);
         }
-        if (fleet[member]->try_repeat(now, "s", members, RepeatReason::kNoAnswer)) {
+        if (fleet[member]->try_retry(now, "s", members, RetryReason::kNoAnswer)) {
             repeats.push_back(now);
         }
         while (!requests.empty() && now - requests.front() >= bound.window) {
@@ -125,17 +125,17 @@
     for (int request = 0; request < 100; ++request) {
         budget.on_request(kStart, "s");
     }
-    CHECK(budget.try_repeat(kStart, "s", 1, RepeatReason::kSlow));
-    CHECK(budget.try_repeat(kStart, "s", 1, RepeatReason::kFailedAnswer));
-    CHECK_FALSE(budget.try_repeat(kStart, "s", 1, RepeatReason::kSlow));
-    CHECK_FALSE(budget.try_repeat(kStart, "s", 1, RepeatReason::kFailedAnswer));
+    CHECK(budget.try_retry(kStart, "s", 1, RetryReason::kSlow));
+    CHECK(budget.try_retry(kStart, "s", 1, RetryReason::kFailedAnswer));
+    CHECK_FALSE(budget.try_retry(kStart, "s", 1, RetryReason::kSlow));
+    CHECK_FALSE(budget.try_retry(kStart, "s", 1, RetryReason::kFailedAnswer));
     // These have used what was saved up; what is earned next is for attempts without an answer alone.
     for (int request = 0; request < 11; ++request) {
         budget.on_request(kStart, "s");
     }
-    CHECK_FALSE(budget.try_repeat(kStart, "s", 1, RepeatReason::kSlow));
-    CHECK_FALSE(budget.try_repeat(kStart, "s", 1, RepeatReason::kFailedAnswer));
-    CHECK(budget.try_repeat(kStart, "s", 1, RepeatReason::kNoAnswer));
+    CHECK_FALSE(budget.try_retry(kStart, "s", 1, RetryReason::kSlow));
+    CHECK_FALSE(budget.try_retry(kStart, "s", 1, RetryReason::kFailedAnswer));
+    CHECK(budget.try_retry(kStart, "s", 1, RetryReason::kNoAnswer));
 }
 
 TEST_CASE("three levels of calls that all spend their share stay within the bound") {
@@ -163,6 +163,6 @@
     for (int request = 0; request < 10; ++request) {
         later.on_request(kStart + seconds(5), "s", 0);
     }
-    CHECK_FALSE(later.try_repeat(kStart + seconds(9), "s", 1, RepeatReason::kNoAnswer));
-    CHECK(later.try_repeat(kStart + seconds(10), "s", 1, RepeatReason::kNoAnswer));
+    CHECK_FALSE(later.try_retry(kStart + seconds(9), "s", 1, RetryReason::kNoAnswer));
+    CHECK(later.try_retry(kStart + seconds(10), "s", 1, RetryReason::kNoAnswer));
 }
--- a/tests/unit/routing/configuration_test.cpp
+++ b/tests/unit/routing/configuration_test.cpp
@@ -59,7 +59,7 @@
 }
 
 TEST_CASE("only one rule forbids repeats") {
-    CHECK(may_repeat(RepeatRule::kRepeatable));
-    CHECK(may_repeat(RepeatRule::kLargeAnswer));
-    CHECK_FALSE(may_repeat(RepeatRule::kAtMostOnce));
+    CHECK(may_retry(RetryRule::kRetryable));
+    CHECK(may_retry(RetryRule::kLargeAnswer));
+    CHECK_FALSE(may_retry(RetryRule::kAtMostOnce));
 }
--- a/tests/unit/wire/hop_header_golden_test.cpp
+++ b/tests/unit/wire/hop_header_golden_test.cpp
@@ -79,7 +79,7 @@
     CHECK(request->remaining == milliseconds(1'250));
     CHECK(request->longest_wait == milliseconds(251));
     CHECK(request->at_most_once);
-    CHECK(request->repeat_percent == 35);
+    CHECK(request->retry_percent == 35);
     CHECK(request->row == "route/2");
     CHECK(request->crashes == 3);
 }
--- a/tests/unit/wire/peer_messages_golden_test.cpp
+++ b/tests/unit/wire/peer_messages_golden_test.cpp
@@ -157,8 +157,8 @@
     add("claim status, serving", claims::ClaimStatusReply{true});
     add("claim status, defaults", claims::ClaimStatusReply{});
     const std::vector<std::pair<const char*, DrawVerdict>> verdicts{
-        {"first", DrawVerdict::kFirst},         {"repeat", DrawVerdict::kRepeat},
-        {"exhausted", DrawVerdict::kExhausted}, {"not repeated", DrawVerdict::kNotRepeated},
+        {"first", DrawVerdict::kFirst},         {"repeat", DrawVerdict::kRetry},
+        {"exhausted", DrawVerdict::kExhausted}, {"not repeated", DrawVerdict::kNotRetryable},
         {"ended", DrawVerdict::kEnded},         {"unknown call", DrawVerdict::kUnknownCall}};
     for (const auto& [name, verdict] : verdicts) {
         add(std::string("draw, ") + name,
--- a/tests/unit/wire/platform_documents_test.cpp
+++ b/tests/unit/wire/platform_documents_test.cpp
@@ -19,13 +19,13 @@
     return value ? "yes" : "no";
 }
 
-std::string_view rule_name(routing::RepeatRule rule) {
+std::string_view rule_name(routing::RetryRule rule) {
     switch (rule) {
-        case routing::RepeatRule::kRepeatable:
+        case routing::RetryRule::kRetryable:
             return "repeatable";
-        case routing::RepeatRule::kAtMostOnce:
+        case routing::RetryRule::kAtMostOnce:
             return "at most once";
-        case routing::RepeatRule::kLargeAnswer:
+        case routing::RetryRule::kLargeAnswer:
             return "large answer";
     }
     return "unknown";
@@ -43,7 +43,7 @@
 std::string text_of(const routing::HostRoute& route) {
     std::string text = "route: " + route.name + "\n  host: " + route.host +
                        "\n  path prefix: " + route.path_prefix +
-                       "\n  repeat: " + std::string(rule_name(route.repeat)) +
+                       "\n  repeat: " + std::string(rule_name(route.retry)) +
                        "\n  timeout: " + milliseconds_text(route.timeout) +
                        "\n  target latency: " + milliseconds_text(route.target_latency) +
                        "\n  priority: " + std::to_string(route.priority) +
--- a/tests/unit/wire/settings_golden_test.cpp
+++ b/tests/unit/wire/settings_golden_test.cpp
@@ -87,8 +87,8 @@
          << "\nstore: " << settings.store.text() << "\nserver: " << settings.server.text()
          << "\nheartbeat interval: " << settings.heartbeat_interval.count()
          << " ms\nstop grace: " << settings.stop_grace.count()
-         << " ms\nrepeat ratio: " << settings.repeat_ratio << "\nrepeat extra: " << settings.repeat_extra
-         << "\nrepeat window: " << settings.repeat_window.count()
+         << " ms\nrepeat ratio: " << settings.retry_ratio << "\nrepeat extra: " << settings.retry_extra
+         << "\nrepeat window: " << settings.retry_window.count()
          << " ms\nkey revocation: " << settings.key_revocation.count()
          << " ms\nlog level: " << settings.log_level << "\nwithout:" << text_of(settings.mechanisms) << "\n"
          << text_of(result.errors);
