--- a/src/overload/room_share.cpp
+++ b/src/overload/capacity_share.cpp
@@ -1,4 +1,4 @@
-#include "overload/room_share.hpp"
+#include "overload/capacity_share.hpp"
 
 #include <algorithm>
 #include <cstddef>
@@ -47,36 +47,36 @@
 
 /** What a rank with this demand leaves of the room to the ranks below, which ask for so much. They never get
    a greater share of what they ask for. */
-double keptForLower (double room, double demand, double lowerDemand)
+double keptForLower (double capacity, double demand, double lowerDemand)
 {
     const double whole = demand + lowerDemand;
 
-    if (whole <= 0 || room >= whole)
+    if (whole <= 0 || capacity >= whole)
         return lowerDemand;
 
-    const double lack = demand > 0 ? std::max (0.0, 1 - room / demand) : 0;
-    const double kept = room * std::clamp (keptPerLack * lack, leastKept, mostKept);
-    return std::min (kept, room * lowerDemand / whole);
+    const double lack = demand > 0 ? std::max (0.0, 1 - capacity / demand) : 0;
+    const double kept = capacity * std::clamp (keptPerLack * lack, leastKept, mostKept);
+    return std::min (kept, capacity * lowerDemand / whole);
 }
 
 /** Equal amounts to all; what one doesn't need goes to the others. */
-void shareEqually (const std::vector<RowDemand>& demands, const Rank& rank, double room,
+void shareEqually (const std::vector<RowDemand>& demands, const Rank& rank, double capacity,
                    std::vector<double>& shares)
 {
     auto rowsLeft = rank.size();
 
     for (const auto n : rank)
     {
-        const double given = std::min (demands[n].work, room / static_cast<double> (rowsLeft));
+        const double given = std::min (demands[n].work, capacity / static_cast<double> (rowsLeft));
         shares[n] = demands[n].work > 0 ? given / demands[n].work : 1;
-        room -= given;
+        capacity -= given;
         --rowsLeft;
     }
 }
 
 } // namespace
 
-std::vector<double> shareRoom (const std::vector<RowDemand>& demands, double room)
+std::vector<double> shareCapacity (const std::vector<RowDemand>& demands, double capacity)
 {
     std::vector<double> shares (demands.size(), 1.0);
     const auto ranks = ranksOf (demands);
@@ -89,9 +89,9 @@
     {
         const double demand = wholeOf (demands, rank);
         lower = std::max (0.0, lower - demand);
-        const double given = std::min (demand, room - keptForLower (room, demand, lower));
+        const double given = std::min (demand, capacity - keptForLower (capacity, demand, lower));
         shareEqually (demands, rank, given, shares);
-        room -= given;
+        capacity -= given;
     }
 
     return shares;
--- a/src/overload/room_share.hpp
+++ b/src/overload/capacity_share.hpp
@@ -26,6 +26,6 @@
 
 /** The share of each demand that is let in, from 0 to 1, in the order of the demands. `room` is in their
  * unit. */
-std::vector<double> shareRoom (const std::vector<RowDemand>& demands, double room);
+std::vector<double> shareCapacity (const std::vector<RowDemand>& demands, double capacity);
 
 } // namespace anisehold::overload
--- a/src/overload/root_limit.cpp
+++ b/src/overload/root_limit.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "overload/room_share.hpp"
+#include "overload/capacity_share.hpp"
 
 namespace anisehold::overload
 {
@@ -135,7 +135,7 @@
     service.levelAtWork = (service.levelAtWork + service.level) / 2;
     const double load = std::max (use, leastUse) * (1.0 + refusalWeight * refusedPart);
     const double right =
-        service.levelAtWork * std::clamp (wantedUse / load, mostFall, 1.0 + mostRisePerS * periodS);
+        service.levelAtWork * std::clamp (targetUtilization / load, mostFall, 1.0 + mostRisePerS * periodS);
     const double gain = right < service.level ? 1.0 : riseGain;
     service.level = std::clamp (service.level + gain * (right - service.level), leastLevel, 1.0);
 }
@@ -193,7 +193,7 @@
     for (const auto& it : demands)
         whole += it.work;
 
-    const auto shares = shareRoom (demands, service.level * whole);
+    const auto shares = shareCapacity (demands, service.level * whole);
     std::map<std::string, double> byRow;
 
     for (std::size_t n = 0; n < demands.size(); ++n)
@@ -333,7 +333,7 @@
 
 double refusedShare (const RootLimitState& state, const RootRow& row)
 {
-    double letIn = 1;
+    double admitted = 1;
 
     for (const auto& [name, service] : state.services)
     {
@@ -342,10 +342,10 @@
 
         const auto shares = sharesLetIn (state, service);
         const auto share = shares.find (row.name);
-        letIn = std::min (letIn, share == shares.end() ? 1.0 : share->second);
+        admitted = std::min (admitted, share == shares.end() ? 1.0 : share->second);
     }
 
-    return 1 - letIn;
+    return 1 - admitted;
 }
 
 } // namespace anisehold::overload
--- a/src/overload/root_limit.hpp
+++ b/src/overload/root_limit.hpp
@@ -4,7 +4,7 @@
    it lets in at the edge. Each daemon counts how its calls to each service end, and tells its peers; all sum
    the counts of the last period, so that the verdict rests on the whole fleet's calls and not on a few of one
     daemon. While calls are refused, the share of the volume that is let in falls by what is refused; without
-    refusals it rises, slowly at first. Who gets the room that is left is decided by `shareRoom`.
+    refusals it rises, slowly at first. Who gets the room that is left is decided by `shareCapacity`.
 
     Plain state and free functions over it. Pure.
 */
@@ -24,7 +24,7 @@
 /** Share of a limited service's places that should be taken. Measured on 15 days of one deployment: 0.96 gave
    a worth of 0.525, 0.9 gave 0.519; waiting calls counted as use besides gave 0.04 less (docs/measurements).
  */
-inline constexpr double wantedUse = 0.96;
+inline constexpr double targetUtilization = 0.96;
 
 /** A route as the limit sees it. */
 struct RootRow
@@ -119,11 +119,11 @@
     std::string service;
     double from = 1;
     double to = 1;
-    std::uint64_t ended = 0;             /**< Calls of the whole fleet in the period. */
-    std::uint64_t refused = 0;           /**< Of those, refused. */
-    std::size_t daemons = 0;             /**< Whose reports were recent enough. */
-    double use = 0;                      /**< Of the service. */
-    std::map<std::string, double> letIn; /**< Share let in of each row that reaches the service. */
+    std::uint64_t ended = 0;                /**< Calls of the whole fleet in the period. */
+    std::uint64_t refused = 0;              /**< Of those, refused. */
+    std::size_t daemons = 0;                /**< Whose reports were recent enough. */
+    double use = 0;                         /**< Of the service. */
+    std::map<std::string, double> admitted; /**< Share let in of each row that reaches the service. */
 };
 
 /** Ends a period, once between two reports of this daemon: moves the levels by the fleet's counts. */
--- a/src/sidecar/peer_exchange.cpp
+++ b/src/sidecar/peer_exchange.cpp
@@ -168,7 +168,7 @@
                                            {"refused", std::to_string(move.refused)},
                                            {"daemons", std::to_string(move.daemons)},
                                            {"use", std::to_string(move.use)},
-                                           {"let_in", text_of(move.letIn)}});
+                                           {"let_in", text_of(move.admitted)}});
     }
 }
 
--- a/tests/unit/overload/room_share_test.cpp
+++ b/tests/unit/overload/capacity_share_test.cpp
@@ -1,4 +1,4 @@
-#include "overload/room_share.hpp"
+#include "overload/capacity_share.hpp"
 
 #include <catch2/catch.hpp>
 #include <optional>
@@ -32,40 +32,40 @@
 
 TEST_CASE ("with room for all, all is let in", "[overload]")
 {
-    const auto shares = shareRoom ({ { "a", 0, 10 }, { "b", 2, 20 }, { "c", 2, 0 } }, 30);
+    const auto shares = shareCapacity ({ { "a", 0, 10 }, { "b", 2, 20 }, { "c", 2, 0 } }, 30);
     CHECK (shares == std::vector<double>{ 1, 1, 1 });
 }
 
 TEST_CASE ("a rank that fits is served whole before the next, but for a least part", "[overload]")
 {
-    const auto shares = shareRoom ({ { "vital", 0, 50 }, { "plain", 2, 50 } }, 60);
+    const auto shares = shareCapacity ({ { "vital", 0, 50 }, { "plain", 2, 50 } }, 60);
     CHECK (shares[0] == 1);
     CHECK (shares[1] == Approx (0.2));
-    const auto tight = shareRoom ({ { "vital", 0, 50 }, { "plain", 2, 50 } }, 50);
+    const auto tight = shareCapacity ({ { "vital", 0, 50 }, { "plain", 2, 50 } }, 50);
     CHECK (tight[0] == Approx (0.92));
     CHECK (tight[1] == Approx (0.08));
 }
 
 TEST_CASE ("the more a rank lacks, the more is kept for those below, up to a quarter", "[overload]")
 {
-    const auto some = shareRoom ({ { "vital", 0, 100 }, { "plain", 2, 100 } }, 80);
+    const auto some = shareCapacity ({ { "vital", 0, 100 }, { "plain", 2, 100 } }, 80);
     CHECK (some[0] == Approx (0.64));
     CHECK (some[1] == Approx (0.16));
-    const auto most = shareRoom ({ { "vital", 0, 100 }, { "plain", 2, 100 } }, 20);
+    const auto most = shareCapacity ({ { "vital", 0, 100 }, { "plain", 2, 100 } }, 20);
     CHECK (most[0] == Approx (0.15));
     CHECK (most[1] == Approx (0.05));
 }
 
 TEST_CASE ("the ranks below together get no greater share than the one above", "[overload]")
 {
-    const auto shares = shareRoom ({ { "vital", 0, 100 }, { "tiny", 2, 1 } }, 50);
+    const auto shares = shareCapacity ({ { "vital", 0, 100 }, { "tiny", 2, 1 } }, 50);
     CHECK (shares[0] == Approx (50.0 / 101));
     CHECK (shares[1] == Approx (50.0 / 101));
 }
 
 TEST_CASE ("within a rank each row gets the same room at most, so that little needs are met", "[overload]")
 {
-    const auto shares = shareRoom ({ { "lookup", 2, 800 }, { "card", 2, 70 } }, 200);
+    const auto shares = shareCapacity ({ { "lookup", 2, 800 }, { "card", 2, 70 } }, 200);
     CHECK (shares[1] == 1);
     CHECK (shares[0] == Approx (130.0 / 800));
 }
@@ -87,8 +87,8 @@
             whole += it.work;
         }
 
-        const double room = 1.2 * whole * unit (random);
-        const auto shares = shareRoom (demands, room);
+        const double capacity = 1.2 * whole * unit (random);
+        const auto shares = shareCapacity (demands, capacity);
         double given = 0;
 
         for (std::size_t row = 0; row < demands.size(); ++row)
@@ -98,7 +98,7 @@
             given += shares[row] * demands[row].work;
         }
 
-        REQUIRE (given == Approx (std::min (room, whole)).margin (1e-6));
+        REQUIRE (given == Approx (std::min (capacity, whole)).margin (1e-6));
 
         for (unsigned rank = 0; rank < 2; ++rank)
         {
--- a/tests/unit/overload/root_limit_test.cpp
+++ b/tests/unit/overload/root_limit_test.cpp
@@ -188,11 +188,11 @@
     CHECK (level < 1);
 
     for (int n = 0; n < 10; ++n)
-        playPeriod (0, wantedUse);
+        playPeriod (0, targetUtilization);
 
     const double limited = level;
     CHECK (limited < 1);
-    playPeriod (0, wantedUse);
+    playPeriod (0, targetUtilization);
     CHECK (level == Approx (limited));
     playPeriod (0, 1.0);
     CHECK (level < limited);
