--- a/lab/load.cpp
+++ b/lab/load.cpp
@@ -19,7 +19,6 @@
 constexpr milliseconds kHardPause{10};
 constexpr milliseconds kDefaultComeBack{200};
 constexpr unsigned kOk = 200;
-constexpr unsigned kFirstServerError = 500;
 
 /// 32 hexadecimal digits that belong to this request.
 std::string trace_id_for(const std::string& id) {
@@ -174,13 +173,13 @@
     Attempt result;
     if (response.status != kOk) {
         const auto execution = response.fields.find(header::kExecution).value_or("");
-        result.outcome = response.status < kFirstServerError || response.fields.find(header::kError) ||
+        result.outcome = !net::is_server_error(response.status) || response.fields.find(header::kError) ||
                                  response.fields.find(header::kNotRun)
                              ? RequestOutcome::kRefused
                              : RequestOutcome::kFailed;
         result.not_run = execution == "not-run";
         result.final_answer =
-            response.status < kFirstServerError && response.status != 409 && response.status != 408;
+            !net::is_server_error(response.status) && response.status != 409 && response.status != 408;
         result.come_back = come_back_after(response);
         return result;
     }
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -22,7 +22,6 @@
 /// With learning off, as good as none.
 constexpr unsigned kUnlimited = 100'000;
 constexpr seconds kDefaultRetryAfter{1};
-constexpr unsigned kFirstServerError = 500;
 
 Duration retry_after_of(const net::HttpResponse& response) {
     const auto value = response.fields.find(header::kRetryAfter);
@@ -300,7 +299,7 @@
         response.fields.remove(name);
     }
     const bool refused =
-        response.status >= kFirstServerError && response.fields.find(header::kNotRun).has_value();
+        net::is_server_error(response.status) && response.fields.find(header::kNotRun).has_value();
     if (refused) {
         const auto report = admission->end(SampleOutcome::kShed);
         const auto& overloaded = report.overloaded_service.empty() ? call.service : report.overloaded_service;
@@ -313,7 +312,7 @@
     if (response.body.whole()) {
         const auto report = admission->end(SampleOutcome::kCompleted);
         result.retries_used = report.used;
-        if (response.status >= kFirstServerError) {
+        if (net::is_server_error(response.status)) {
             result.overloaded_service = report.overloaded_service;
         }
     } else {
--- a/src/net/http_types.hpp
+++ b/src/net/http_types.hpp
@@ -45,6 +45,12 @@
     virtual std::size_t read(char* data, std::size_t size, std::error_code& error) = 0;
 };
 
+/// Whether an answer with this status says that its server failed (RFC 9110, 15.6).
+inline bool is_server_error(unsigned status) {
+    constexpr unsigned first_server_error = 500;
+    return status >= first_server_error;
+}
+
 /// A message body: what was buffered, and a reader for the rest of a large one.
 struct Body {
     std::string prefix;
--- a/src/sidecar/call_attempts.cpp
+++ b/src/sidecar/call_attempts.cpp
@@ -31,10 +31,9 @@
 constexpr milliseconds kServersKnownAfter{3'000};
 
 AttemptOutcome outcome_of(const GateAnswer& answer) {
-    constexpr unsigned first_server_error = 500;
     switch (answer.result.outcome) {
         case HopOutcome::kAnswered:
-            return answer.response->status >= first_server_error ? AttemptOutcome::kFailedAnswer
+            return net::is_server_error(answer.response->status) ? AttemptOutcome::kFailedAnswer
                                                                  : AttemptOutcome::kAnswered;
         case HopOutcome::kNotSent:
             return AttemptOutcome::kNotSent;
--- a/src/sidecar/call_ingress.cpp
+++ b/src/sidecar/call_ingress.cpp
@@ -245,8 +245,7 @@
 
 net::HttpResponse CallIngress::answer(Call& call, net::HttpResponse response) {
     context_.metrics.count_answer(call.route, response.status, TimePoint::clock::now() - call.received);
-    constexpr unsigned first_server_error = 500;
-    log(call, std::to_string(response.status), response.status < first_server_error);
+    log(call, std::to_string(response.status), !net::is_server_error(response.status));
     return response;
 }
 
--- a/src/sidecar/local_gate.cpp
+++ b/src/sidecar/local_gate.cpp
@@ -305,11 +305,10 @@
 
 void LocalGate::observe(Server& server, TimePoint started, TimePoint now, const GateAnswer& answer,
                         bool cancelled) {
-    constexpr unsigned first_server_error = 500;
     const auto taken = now - started;
     const bool answered = answer.result.outcome == HopOutcome::kAnswered;
     const bool slow = taken > server.latency;
-    const bool whole = answered && answer.response->status < first_server_error;
+    const bool whole = answered && !net::is_server_error(answer.response->status);
     // A failure may come faster than any work; a request that was given up took at least that long.
     if (whole || (cancelled && slow)) {
         server.latency = server.latency == Duration::zero()
@@ -356,8 +355,7 @@
 }
 
 void LocalGate::mark_overload_below(TimePoint started, GateAnswer& answer) const {
-    constexpr unsigned first_server_error = 500;
-    const bool failed = answer.response && answer.response->status >= first_server_error;
+    const bool failed = answer.response && net::is_server_error(answer.response->status);
     const auto& sign = context_.last_overload;
     if (failed && sign.seen >= started) {
         answer.result.overloaded_service = sign.service;
@@ -379,8 +377,7 @@
                     const GateAnswer& answer, TimePoint arrived, Duration waited) const {
     const auto& result = answer.result;
     const bool answered = result.outcome == HopOutcome::kAnswered;
-    constexpr unsigned first_server_error = 500;
-    const bool served = answered && answer.response->status < first_server_error;
+    const bool served = answered && !net::is_server_error(answer.response->status);
     const auto write_line = served ? observability::log_routine : log_event;
     write_line(Event::kGateCall,
                {{"request_id", request_id},
