--- a/src/daemon/ingress.cpp
+++ b/src/daemon/ingress.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 #include <charconv>
-#include <nlohmann/json.hpp>
 
+#include "net/problem_document.hpp"
 #include "observability/events.hpp"
 #include "protocol/message_digest.hpp"
 
@@ -21,8 +21,6 @@
 constexpr std::size_t kRootIdDigits = 32;
 constexpr std::size_t kCallIdDigits = 16;
 constexpr long long kMaxTimeoutMs = 3'600'000;
-/// Media type of problem details (RFC 9457).
-constexpr const char* kProblemType = "application/problem+json";
 
 /// The service named by the Host header, without a port.
 std::string service_of(const net::HttpRequest& request) {
@@ -221,30 +219,22 @@
 
 net::HttpResponse Ingress::error_response(const CallResult& result, const std::string& request_id) {
     const auto& answer = answer_for(result.error);
-    nlohmann::ordered_json problem{{"type", "about:blank"},
-                                   {"title", answer.title},
-                                   {"status", answer.http_status},
-                                   {"kind", answer.name},
-                                   {"execution", execution_name(result.execution)},
-                                   {"request_id", request_id}};
-    std::optional<long long> retry_after_ms;
+    net::Problem problem{result.error, request_id, "about:blank", result.execution, std::nullopt};
     if (answer.come_back == ComeBack::kSoon) {
         // Jitter keeps callers that were refused together from coming back together.
         const auto base = std::max<Duration>(result.retry_after, milliseconds(1));
-        retry_after_ms =
-            to_milliseconds(std::chrono::duration_cast<Duration>(base * (1.0 + context_.random_unit())));
-        problem["retry_after_ms"] = *retry_after_ms;
+        const auto jittered = std::chrono::duration_cast<Duration>(base * (1.0 + context_.random_unit()));
+        problem.retry_after = milliseconds(to_milliseconds(jittered));
     }
-    auto response = net::make_response(answer.http_status, kProblemType, problem.dump());
+    auto response = net::problem_response(problem);
     response.fields.set(header::kError, std::string(answer.name));
     response.fields.set(header::kExecution, std::string(execution_name(result.execution)));
     if (!request_id.empty()) {
         response.fields.set(header::kRequestId, request_id);
     }
-    if (retry_after_ms) {
-        constexpr long long milliseconds_per_second = 1'000;
-        const auto whole_seconds = (*retry_after_ms + milliseconds_per_second - 1) / milliseconds_per_second;
-        response.fields.set(header::kRetryAfter, std::to_string(whole_seconds));
+    if (problem.retry_after) {
+        const auto seconds = std::chrono::ceil<std::chrono::seconds>(*problem.retry_after);
+        response.fields.set(header::kRetryAfter, std::to_string(seconds.count()));
     }
     return response;
 }
--- a/src/sidecar/call_ingress.cpp
+++ b/src/sidecar/call_ingress.cpp
@@ -1,8 +1,8 @@
 #include "sidecar/call_ingress.hpp"
 
 #include <algorithm>
-#include <nlohmann/json.hpp>
 
+#include "net/problem_document.hpp"
 #include "observability/events.hpp"
 #include "sidecar/request_identity.hpp"
 
@@ -271,11 +271,7 @@
 
 net::HttpResponse CallIngress::error_response(const Failure& failure, const std::string& request_id) const {
     const auto& kind = answer_for(failure.error);
-    const nlohmann::ordered_json problem{
-        {"title", kind.title}, {"status", kind.http_status}, {"kind", kind.name}, {"request_id", request_id}};
-    auto response =
-        net::make_response(kind.http_status, "application/problem+json",
-                           problem.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace));
+    auto response = net::problem_response({failure.error, request_id, {}, std::nullopt, std::nullopt});
     if (!request_id.empty()) {
         const auto echo = context_.dialect.echoed_field(request_id);
         response.fields.set(echo.name, echo.value);
