--- a/src/admission/server_gate.cpp
+++ b/src/admission/server_gate.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "protocol/retry_after.hpp"
+
 namespace anisehold::admission {
 namespace {
 
@@ -11,7 +13,6 @@
 constexpr unsigned kMarginAppliesFrom = 5;
 /// Weight of a new sample in the averages, as a divisor.
 constexpr int kAverageDivisor = 16;
-constexpr milliseconds kLeastRetryAfter{50};
 /// A call is only started if it has this many average service times left: one that runs out of time on the
 /// way is wasted.
 constexpr double kRunMargin = 1.5;
@@ -38,7 +39,7 @@
     }
     const std::size_t position = position_of(newcomer);
     const Duration wait = expected_wait(position);
-    decision.retry_after = std::max<Duration>(expected_wait(queue_.size()), kLeastRetryAfter);
+    decision.retry_after = std::max<Duration>(expected_wait(queue_.size()), retry_after::kLeastAtGate);
     if (now + wait + time_to_run() > call.deadline) {
         decision.verdict = GateVerdict::kRefused;
         decision.refusal = ErrorKind::kOverloaded;
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -8,6 +8,7 @@
 #include "admission/policy/fixed_limit.hpp"
 #include "net/event_loop.hpp"
 #include "observability/events.hpp"
+#include "protocol/retry_after.hpp"
 
 namespace anisehold::daemon {
 namespace {
@@ -21,14 +22,13 @@
 constexpr seconds kHousekeepingPeriod{1};
 /// With learning off, as good as none.
 constexpr unsigned kUnlimited = 100'000;
-constexpr seconds kDefaultRetryAfter{1};
 
 Duration retry_after_of(const net::HttpResponse& response) {
     const auto value = response.fields.find(header::kRetryAfter);
     unsigned whole_seconds = 0;
     if (!value ||
         std::from_chars(value->data(), value->data() + value->size(), whole_seconds).ec != std::errc{}) {
-        return kDefaultRetryAfter;
+        return retry_after::kServerRefused;
     }
     return seconds(whole_seconds);
 }
@@ -176,7 +176,7 @@
     const bool takes_work = std::any_of(candidates.begin(), candidates.end(),
                                         [&](const auto& candidate) { return candidate.endpoint == server; });
     if (!takes_work && context_.has(Mechanism::kLeavingDetection)) {
-        auto result = CallResult::failure(ErrorKind::kNoBackend, kDefaultRetryAfter);
+        auto result = CallResult::failure(ErrorKind::kNoBackend, retry_after::kNoServer);
         result.server_leaving = true;
         return result;
     }
@@ -341,7 +341,7 @@
     }
     const auto report =
         admission.end(timed_out && !cancelled ? SampleOutcome::kTimeout : SampleOutcome::kIgnored);
-    auto result = CallResult::failure(kind, kDefaultRetryAfter);
+    auto result = CallResult::failure(kind, retry_after::kNoServer);
     if (!progress.request_started) {
         result.execution = Execution::kNotRun;
     } else {
--- a/src/daemon/ingress.cpp
+++ b/src/daemon/ingress.cpp
@@ -6,6 +6,7 @@
 
 #include "observability/events.hpp"
 #include "protocol/message_digest.hpp"
+#include "protocol/retry_after.hpp"
 
 namespace anisehold::daemon {
 namespace {
@@ -17,7 +18,6 @@
 using routing::Call;
 using routing::CallResult;
 
-constexpr milliseconds kDefaultRetryAfter{1'000};
 constexpr std::size_t kRootIdDigits = 32;
 constexpr std::size_t kCallIdDigits = 16;
 constexpr long long kMaxTimeoutMs = 3'600'000;
@@ -87,7 +87,7 @@
 
 net::HttpResponse Ingress::reject(ErrorKind kind) {
     context_.metrics.count_error("", kind);
-    return error_response(CallResult::failure(kind, kDefaultRetryAfter), "");
+    return error_response(CallResult::failure(kind, retry_after::kServeDefault), "");
 }
 
 std::string Ingress::random_hex(std::size_t digits) {
@@ -150,7 +150,7 @@
     context_.decisions.add(call.context.root_id, call.context.call_id, DecisionStep::kReceived,
                            request.method + " " + call.service + request.target);
     if (problem) {
-        return finish(call, CallResult::failure(*problem, kDefaultRetryAfter));
+        return finish(call, CallResult::failure(*problem, retry_after::kServeDefault));
     }
     if (call.context.depth > kMaxDepth) {
         return finish(call, CallResult::failure(ErrorKind::kTooDeep));
@@ -182,7 +182,7 @@
     call.cancel = &cancel;
     CallResult result;
     if (const auto problem = prepare(request, call)) {
-        result = CallResult::failure(*problem, kDefaultRetryAfter);
+        result = CallResult::failure(*problem, retry_after::kServeDefault);
     } else {
         call.context = *call_context;
         call.root_started = call.received - milliseconds(asked->root_age_ms);
@@ -231,8 +231,8 @@
     if (answer.come_back == ComeBack::kSoon) {
         // Jitter keeps callers that were refused together from coming back together.
         const auto base = std::max<Duration>(result.retry_after, milliseconds(1));
-        retry_after_ms =
-            to_milliseconds(std::chrono::duration_cast<Duration>(base * (1.0 + context_.random_unit())));
+        retry_after_ms = to_milliseconds(std::chrono::duration_cast<Duration>(
+            base * (1.0 + retry_after::kServeSpread * context_.random_unit())));
         problem["retry_after_ms"] = *retry_after_ms;
     }
     auto response = net::make_response(answer.http_status, kProblemType, problem.dump());
--- a/src/routing/handles/claim_route.cpp
+++ b/src/routing/handles/claim_route.cpp
@@ -1,6 +1,7 @@
 #include "routing/handles/claim_route.hpp"
 
 #include "protocol/message_digest.hpp"
+#include "protocol/retry_after.hpp"
 
 namespace anisehold::routing {
 namespace {
@@ -9,9 +10,6 @@
 using claims::ClaimResult;
 using claims::ClaimState;
 
-constexpr milliseconds kInProgressRetryAfter{200};
-constexpr milliseconds kUnavailableRetryAfter{1'000};
-
 std::string_view claim_result_name(ClaimResult result) {
     switch (result) {
         case ClaimResult::kPending:
@@ -77,7 +75,7 @@
         return duplicate_result(call, outcome);
     }
     if (outcome.result != ClaimResult::kWon) {
-        return CallResult::failure(ErrorKind::kClaimUnavailable, kUnavailableRetryAfter);
+        return CallResult::failure(ErrorKind::kClaimUnavailable, retry_after::kClaimUnavailable);
     }
     return route_claimed(call, outcome);
 }
@@ -107,7 +105,7 @@
     }
     if (standing.state == ClaimState::kInProgress) {
         return claims_.coordinator_is_there(standing)
-                   ? CallResult::failure(ErrorKind::kDuplicateInProgress, kInProgressRetryAfter)
+                   ? CallResult::failure(ErrorKind::kDuplicateInProgress, retry_after::kDuplicateInProgress)
                    : CallResult::failure(ErrorKind::kDuplicateUnknown);
     }
     if (standing.state == ClaimState::kUnknown) {
--- a/src/routing/handles/client_ledger_route.cpp
+++ b/src/routing/handles/client_ledger_route.cpp
@@ -1,5 +1,7 @@
 #include "routing/handles/client_ledger_route.hpp"
 
+#include "protocol/retry_after.hpp"
+
 namespace anisehold::routing {
 namespace {
 
@@ -7,7 +9,6 @@
 
 /// How long a client's request is remembered for its retries to be known.
 constexpr seconds kClientMemory{60};
-constexpr milliseconds kRetryAfter{1'000};
 
 /// What names the client's request over its retries; empty if nothing does.
 std::string client_request_name(const Call& call) {
@@ -32,7 +33,7 @@
     gates_.open_client_ledger(name, {call.route.row.retries, call.received + kClientMemory, call.received});
     const auto loan = gates_.handle(retry::DrawRequest{name, call.identity, true});
     if (loan.verdict == DrawVerdict::kExhausted) {
-        return CallResult::failure(ErrorKind::kRetriesExhausted, kRetryAfter);
+        return CallResult::failure(ErrorKind::kRetriesExhausted, retry_after::kRetriesExhausted);
     }
     call.context.retry_allowance = loan.lent;
     auto result = next_.route(call);
--- a/src/routing/handles/early_refusal_route.cpp
+++ b/src/routing/handles/early_refusal_route.cpp
@@ -1,17 +1,13 @@
 #include "routing/handles/early_refusal_route.hpp"
 
-namespace anisehold::routing {
-namespace {
-
-constexpr milliseconds kRetryAfter{1'000};
-
-}  // namespace
+#include "protocol/retry_after.hpp"
 
+namespace anisehold::routing {
 CallResult EarlyRefusalRoute::route(Call& call) {
     const admission::ThrottledRow row{call.route.row.name, call.route.row.priority};
     const bool enabled = context_.has(config::Mechanism::kEarlyRefusal);
     if (enabled && throttle_.refuses(call.received, row, context_.random_unit())) {
-        return CallResult::failure(ErrorKind::kOverloaded, kRetryAfter);
+        return CallResult::failure(ErrorKind::kOverloaded, retry_after::kThrottled);
     }
     auto result = next_.route(call);
     throttle_.on_result(TimePoint::clock::now(), row, result.overloaded_service);
--- a/src/routing/handles/ledger_route.cpp
+++ b/src/routing/handles/ledger_route.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "net/event_loop.hpp"
+#include "protocol/retry_after.hpp"
 
 namespace anisehold::routing {
 namespace {
@@ -10,7 +11,6 @@
 using retry::DrawVerdict;
 
 constexpr milliseconds kPeerTimeout{500};
-constexpr milliseconds kRetryAfter{1'000};
 
 std::optional<CallResult> refusal_for(DrawVerdict verdict) {
     switch (verdict) {
@@ -18,7 +18,7 @@
         case DrawVerdict::kRetry:
             return std::nullopt;
         case DrawVerdict::kExhausted:
-            return CallResult::failure(ErrorKind::kRetriesExhausted, kRetryAfter);
+            return CallResult::failure(ErrorKind::kRetriesExhausted, retry_after::kRetriesExhausted);
         case DrawVerdict::kNotRetryable:
             return CallResult::failure(ErrorKind::kOutcomeUnknown);
         case DrawVerdict::kEnded: {
@@ -27,7 +27,7 @@
             return result;
         }
         case DrawVerdict::kUnknownCall:
-            return CallResult::failure(ErrorKind::kHomeUnreachable, kRetryAfter);
+            return CallResult::failure(ErrorKind::kHomeUnreachable, retry_after::kHomeUnreachable);
     }
     return std::nullopt;
 }
--- a/src/routing/handles/server_route.cpp
+++ b/src/routing/handles/server_route.cpp
@@ -3,13 +3,13 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/retry_after.hpp"
 #include "routing/balancer.hpp"
 
 namespace anisehold::routing {
 namespace {
 
 constexpr int kMostServers = 3;
-constexpr milliseconds kNoBackendRetryAfter{1'000};
 
 /// Whether it is known that nothing ran, so that another server may be tried at no risk.
 bool may_go_elsewhere(const CallResult& result) {
@@ -59,7 +59,7 @@
 
 CallResult ServerRoute::route_to_one_of(Call& call) {
     std::vector<Endpoint> tried;
-    auto result = CallResult::failure(ErrorKind::kNoBackend, kNoBackendRetryAfter);
+    auto result = CallResult::failure(ErrorKind::kNoBackend, retry_after::kNoServer);
     for (int attempt = 0; attempt < kMostServers; ++attempt) {
         const auto now = TimePoint::clock::now();
         const auto chosen = choose_server(registry_.candidates(now, call.service, tried), context_.self.zone,
@@ -103,7 +103,7 @@
 CallResult ServerRoute::ask_remote_gate(Call& call, const Endpoint& server,
                                         const membership::MemberInfo& gate) {
     if (context_.peer_faults.cut.contains(gate.peer)) {
-        return CallResult::failure(ErrorKind::kConnectFailed, kNoBackendRetryAfter);
+        return CallResult::failure(ErrorKind::kConnectFailed, retry_after::kNoServer);
     }
     auto request = gate_request(call, server, context_.settings.daemon_mesh_key);
     net::ExchangeProgress progress;
@@ -117,11 +117,11 @@
     }
     if (!progress.request_started) {
         membership_.mark_unreachable(gate.id);
-        return CallResult::failure(ErrorKind::kConnectFailed, kNoBackendRetryAfter);
+        return CallResult::failure(ErrorKind::kConnectFailed, retry_after::kNoServer);
     }
     const bool timed_out = TimePoint::clock::now() >= call.deadline;
     auto result = CallResult::failure(timed_out ? ErrorKind::kDeadlineExceeded : ErrorKind::kBackendFailed,
-                                      kNoBackendRetryAfter);
+                                      retry_after::kNoServer);
     // Nobody will say what was used: all of it counts as used.
     result.retries_used = call.context.retry_allowance;
     if (!context_.has(config::Mechanism::kOutcomeTruth)) {
--- a/src/sidecar/call_ingress.cpp
+++ b/src/sidecar/call_ingress.cpp
@@ -4,6 +4,7 @@
 #include <nlohmann/json.hpp>
 
 #include "observability/events.hpp"
+#include "protocol/retry_after.hpp"
 #include "sidecar/request_identity.hpp"
 
 namespace anisehold::sidecar {
@@ -14,22 +15,13 @@
 using observability::log_event;
 using retry::AttemptStep;
 
-/// When a caller may come back if nothing better is known.
-constexpr milliseconds kDefaultRetryAfter{200};
 /// The answer must reach the client before its own time is up.
 constexpr milliseconds kAnswerMargin{5};
 
-/// When a request may come back whose key can't be told to be in force: proofs are asked for this often.
-constexpr milliseconds kUnprovenRetryAfter{300};
 /// Longest time that the count of a tenant's requests is waited for: an owner that is gone is found out in
 /// 180 ms, and the next one answers within a few milliseconds.
 constexpr milliseconds kQuotaWait{400};
 
-/// When a request that was refused early may come back, at the earliest and at the latest: callers that were
-/// refused together must not come back together.
-constexpr milliseconds kEarlyRefusalRetryAfter{250};
-constexpr milliseconds kEarlyRefusalSpread{500};
-
 bool is_overload(ErrorKind error) {
     return error == ErrorKind::kOverloaded || error == ErrorKind::kQueueTimeout;
 }
@@ -80,7 +72,7 @@
 net::HttpResponse CallIngress::reject(ErrorKind kind) {
     context_.metrics.count_error("", kind);
     log_event(Event::kIngressCall, {{"outcome", std::string(answer_for(kind).name)}});
-    return error_response({kind, kDefaultRetryAfter}, "");
+    return error_response({kind, retry_after::kSidecarDefault}, "");
 }
 
 net::HttpResponse CallIngress::handle(net::HttpRequest& request, net::CancelSignal& cancel) {
@@ -101,7 +93,7 @@
     call.request_id = client.id;
     const auto configuration = configuration_.current();
     if (!configuration) {
-        return Failure{ErrorKind::kNoTable, kDefaultRetryAfter};
+        return Failure{ErrorKind::kNoTable, retry_after::kSidecarDefault};
     }
     call.configuration_version = configuration->version;
     const auto* route = configuration->find(host_of(request), routing::path_of(request.target));
@@ -129,9 +121,9 @@
     // A call that a server makes is never refused early: work has been done for it already.
     if (context_.origins.is_called_by_clients(call.route) && is_refused_early(call)) {
         const double part = context_.has(Mechanism::kRetryAfterSpread) ? context_.random_unit() : 0;
-        const auto spread = static_cast<double>(kEarlyRefusalSpread.count()) * part;
+        const auto spread = static_cast<double>(retry_after::kRefusedEarlySpread.count()) * part;
         return Failure{ErrorKind::kOverloaded,
-                       kEarlyRefusalRetryAfter + milliseconds(static_cast<long long>(spread))};
+                       retry_after::kRefusedEarly + milliseconds(static_cast<long long>(spread))};
     }
     return take_token(*configuration, call);
 }
@@ -149,7 +141,7 @@
         case tenancy::Admission::unauthorized:
             return Failure{ErrorKind::kUnauthorized};
         case tenancy::Admission::unproven:
-            return Failure{ErrorKind::kKeyUnproven, kUnprovenRetryAfter};
+            return Failure{ErrorKind::kKeyUnproven, retry_after::kKeyUnproven};
         case tenancy::Admission::anonymous:
             break;
         case tenancy::Admission::known:
@@ -281,7 +273,8 @@
         response.fields.set(echo.name, echo.value);
     }
     if (kind.come_back == ComeBack::kSoon && kind.execution == Execution::kNotRun) {
-        const auto wait = failure.retry_after > milliseconds(0) ? failure.retry_after : kDefaultRetryAfter;
+        const auto wait =
+            failure.retry_after > milliseconds(0) ? failure.retry_after : retry_after::kSidecarDefault;
         context_.dialect.write_retry_after(response, wait);
     }
     return response;
--- a/src/sidecar/quota_exchange.cpp
+++ b/src/sidecar/quota_exchange.cpp
@@ -5,6 +5,7 @@
 
 #include "net/event_loop.hpp"
 #include "observability/events.hpp"
+#include "protocol/retry_after.hpp"
 
 namespace anisehold::sidecar {
 namespace {
@@ -31,14 +32,10 @@
 /// An owner that had no token isn't asked for this time at least and at most: at 71 daemons it is then asked
 /// some 1,400 times a second for the busiest tenant.
 constexpr milliseconds kLeastRefusal{5};
-constexpr milliseconds kMostRefusal{50};
+constexpr milliseconds kMostRefusal = retry_after::kLeastQuotaExceeded;
 /// Part of the rate that a daemon grants for a tenant whose owner is another one by its own view: as much as
 /// may be gone over. So a wrong view of some daemons doesn't double a quota.
 constexpr double kSecondOwnerPart = 0.1;
-/// When a request may come back that no owner could be asked for: by then another one has been found.
-constexpr milliseconds kUnknownRetryAfter{300};
-/// Part of the time to come back that is drawn at random.
-constexpr double kRetryAfterSpread = 0.25;
 
 std::uint32_t whole_ms(Duration duration) {
     return static_cast<std::uint32_t>(std::clamp(to_milliseconds(duration) + 1, 0LL, 3'600'000LL));
@@ -70,7 +67,7 @@
             return {Verdict::kExceeded, refusal_pause(now, account.cache)};
         }
         if (now >= latest) {
-            return {Verdict::kUnknown, kUnknownRetryAfter};
+            return {Verdict::kUnknown, retry_after::kQuotaUnknown};
         }
         ++account.waiting;
         if (!account.round) {
@@ -80,7 +77,7 @@
             round->ended.wait_until(latest);
             --account.waiting;
             if (round->ended.is_set() && !round->found_owner) {
-                return {Verdict::kUnknown, kUnknownRetryAfter};
+                return {Verdict::kUnknown, retry_after::kQuotaUnknown};
             }
         } else {
             --account.waiting;
@@ -99,8 +96,8 @@
 
 Duration QuotaExchange::refusal_pause(TimePoint now, const tenancy::TokenCache& cache) {
     const std::chrono::duration<double> pause = cache.retryAt - now;
-    const auto spread = pause * (1.0 + kRetryAfterSpread * context_.random_unit());
-    return std::max<Duration>(std::chrono::duration_cast<Duration>(spread), kMostRefusal);
+    const auto spread = pause * (1.0 + retry_after::kQuotaSpread * context_.random_unit());
+    return std::max<Duration>(std::chrono::duration_cast<Duration>(spread), retry_after::kLeastQuotaExceeded);
 }
 
 void QuotaExchange::begin_round(const TenantTerms& tenant, Account& account) {
--- a/src/tenancy/quota_bucket.hpp
+++ b/src/tenancy/quota_bucket.hpp
@@ -9,6 +9,7 @@
 
 #include <algorithm>
 
+#include "protocol/retry_after.hpp"
 #include "protocol/time_types.hpp"
 #include "tenancy/tenant_types.hpp"
 
@@ -18,8 +19,6 @@
 /** Tokens of a new owner, which doesn't know what its predecessor gave out: fewer than what the fleet may go
     over its quota for want of an exchange (20 requests), so that single requests are served at once. */
 inline constexpr double tokensOfNewOwner = 8;
-/** The longest time that a refused request is told to stay away: by then demand is another. */
-inline constexpr milliseconds longestQuotaWait{ 5'000 };
 
 /** Tokens of one tenant. */
 struct QuotaBucket
@@ -75,7 +74,7 @@
     if (refused > 0)
     {
         bucket.lineEnds = std::max (bucket.lineEnds, now) + timeOf (refused);
-        bucket.lineEnds = std::min<TimePoint> (bucket.lineEnds, now + longestQuotaWait);
+        bucket.lineEnds = std::min<TimePoint> (bucket.lineEnds, now + retry_after::kMostQuotaExceeded);
         grant.retryAfter = std::max (grant.untilNext, bucket.lineEnds - now);
     }
 
