--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 DEPLOYMENT ?= cooperative
 JOBS ?= 8
 
-.PHONY: deps build test demo demo-table prove bench soak soak-seeds check clean
+.PHONY: deps build test demo demo-table prove soak soak-seeds check clean
 
 deps:
 	bash scripts/install-dependencies.sh
@@ -28,10 +28,6 @@
 prove: build
 	bash scripts/prove.sh --build $(BUILD)
 
-# Overload scenarios, both deployments, one run after the other. Files go to $(BUILD)/bench.
-bench: build
-	$(BUILD)/anisehold-bench
-
 # Fresh random faults against real processes for SOAK_SECONDS; then the seeds that ever failed.
 SOAK_SECONDS ?= 120
 soak: build
