--- a/lab/backend.cpp
+++ b/lab/backend.cpp
@@ -12,10 +12,11 @@
 
 using nlohmann::json;
 
-constexpr double kColdFactor = 3.0;
 /// Work varies evenly between these shares of the average.
 constexpr double kLeastWork = 0.7;
 constexpr double kMostWork = 1.3;
+/// Calls that wait for a slot; more are refused. Chosen, not measured.
+constexpr std::size_t kQueue = 200;
 constexpr milliseconds kDefaultTimeout{10'000};
 constexpr unsigned kOk = 200;
 constexpr unsigned kUnavailable = 503;
@@ -44,36 +45,18 @@
     return !gone->wait_until(until);
 }
 
-/// A body that breaks off half-way.
-class HalfBody final : public net::BodyReader {
-  public:
-    std::size_t read(char* /*data*/, std::size_t /*size*/, std::error_code& error) override {
-        error = std::make_error_code(std::errc::connection_reset);
-        return 0;
-    }
-};
-
 }  // namespace
 
 /// Gives the slot back at the end of the scope.
 class Backend::SlotLease {
   public:
-    SlotLease(Backend& backend, Counts& counts)
-        : backend_(backend), counts_(counts), taken_at_(TimePoint::clock::now()) {}
-    ~SlotLease() {
-        const double held_seconds =
-            std::chrono::duration<double>(TimePoint::clock::now() - taken_at_).count();
-        backend_.slot_seconds_ += held_seconds;
-        counts_.slot_seconds += held_seconds;
-        backend_.return_slot();
-    }
+    explicit SlotLease(Backend& backend) : backend_(backend) {}
+    ~SlotLease() { backend_.return_slot(); }
     SlotLease(const SlotLease&) = delete;
     SlotLease& operator=(const SlotLease&) = delete;
 
   private:
     Backend& backend_;
-    Counts& counts_;
-    TimePoint taken_at_;
 };
 
 Backend::Backend(boost::asio::io_context& io, Deployment deployment, BackendOptions options,
@@ -87,7 +70,6 @@
            [](ErrorKind kind) {
                return json_answer(answer_for(kind).http_status, {{"error", "bad request"}});
            }}),
-      started_at_(TimePoint::clock::now()),
       random_(std::random_device{}()) {
     const auto* service = deployment_.service(options_.service);
     slots_ = service == nullptr ? 1 : service->slots;
@@ -135,7 +117,6 @@
     return apply_control(request, [this](const json& faults) {
         faults_.slow_factor = faults.value("slow_factor", faults_.slow_factor);
         faults_.health_lies = faults.value("health_lies", faults_.health_lies);
-        faults_.cut_answers = faults.value("cut_answers", faults_.cut_answers);
         faults_.fail = faults.value("fail", faults_.fail);
         const bool was_frozen = std::exchange(faults_.frozen, faults.value("frozen", faults_.frozen));
         if (was_frozen && !faults_.frozen) {
@@ -149,14 +130,11 @@
     json kinds = json::object();
     for (const auto& [kind, requests] : counts_) {
         for (const auto& [request_id, count] : requests) {
-            kinds[kind][request_id] = {{"started", count.started},
-                                       {"committed", count.committed},
-                                       {"slot_seconds", count.slot_seconds}};
+            kinds[kind][request_id] = {{"started", count.started}, {"committed", count.committed}};
         }
     }
     return json_answer(kOk, {{"received", received_},
                              {"received_while_draining", received_while_draining_},
-                             {"slot_seconds", slot_seconds_},
                              {"kinds", std::move(kinds)}});
 }
 
@@ -201,9 +179,7 @@
 
 Duration Backend::work_time(const KindSpec& kind) {
     std::uniform_real_distribution<double> share(kLeastWork, kMostWork);
-    const bool cold = TimePoint::clock::now() - started_at_ < options_.cold_ms;
-    const double factor = share(random_) * faults_.slow_factor * (cold ? kColdFactor : 1.0);
-    return std::chrono::duration_cast<Duration>(kind.work_ms * factor);
+    return std::chrono::duration_cast<Duration>(kind.work_ms * share(random_) * faults_.slow_factor);
 }
 
 bool Backend::work(const KindSpec& kind, net::CancelSignal& cancel) {
@@ -219,7 +195,7 @@
     if (!net::read_whole(request.body, net::kLargestFetchedText, error)) {
         return refuse("the request broke off");
     }
-    if (slots_used_ >= slots_ && waiting_.size() >= options_.queue) {
+    if (slots_used_ >= slots_ && waiting_.size() >= kQueue) {
         return refuse("full");
     }
     if (!take_slot(deadline, cancel)) {
@@ -227,7 +203,7 @@
     }
     const auto request_id = request_id_of(request);
     Counts& count = counts_[kind.name][request_id];
-    const SlotLease lease(*this, count);
+    const SlotLease lease(*this);
     ++count.started;
     if (!work(kind, cancel)) {
         return refuse("cancelled");
@@ -248,13 +224,7 @@
     if (faults_.fail) {
         return json_answer(kUnavailable, {{"error", "failed"}});
     }
-    auto response =
-        net::make_response(kOk, "text/plain", make_answer_body(kind.name, request_id, kind.answer_bytes));
-    if (faults_.cut_answers) {
-        response.body.prefix.resize(response.body.prefix.size() / 2);
-        response.body.rest = std::make_unique<HalfBody>();
-    }
-    return response;
+    return net::make_response(kOk, "text/plain", make_answer_body(kind.name, request_id, kind.answer_bytes));
 }
 
 Backend::NestedOutcome Backend::call_nested(const KindSpec& kind, const net::HttpRequest& parent,
--- a/lab/backend.hpp
+++ b/lab/backend.hpp
@@ -22,15 +22,12 @@
     double slow_factor = 1;    ///< All work takes this many times as long.
     bool frozen = false;       ///< Requests are taken and never answered until thawed.
     bool health_lies = false;  ///< The health endpoint says fine, whatever is the case.
-    bool cut_answers = false;  ///< Answers break off half-way.
     bool fail = false;         ///< After the work, 503 is answered.
 };
 
 struct BackendOptions {
     std::string service;
-    milliseconds cold_ms{0};     ///< Work takes three times as long for this time after the start.
     unsigned layer_retries = 0;  ///< Retries of its own for each nested call.
-    std::size_t queue = 200;     ///< Calls that wait for a slot; more are shed.
 };
 
 /// Serves one server of a service.
@@ -46,7 +43,6 @@
     struct Counts {
         unsigned started = 0;
         unsigned committed = 0;
-        double slot_seconds = 0;
     };
     enum class NestedOutcome { kWhole, kNotRun, kFailed };
     class SlotLease;
@@ -75,11 +71,9 @@
     std::deque<std::shared_ptr<net::FiberEvent>> waiting_;
     std::shared_ptr<net::FiberEvent> thawed_ = std::make_shared<net::FiberEvent>();
     bool draining_ = false;
-    TimePoint started_at_;
     std::map<std::string, std::map<std::string, Counts>> counts_;  // By kind, then by request id.
     std::uint64_t received_ = 0;
     std::uint64_t received_while_draining_ = 0;
-    double slot_seconds_ = 0;
     std::mt19937_64 random_;
 };
 
--- a/lab/deployment.cpp
+++ b/lab/deployment.cpp
@@ -37,7 +37,6 @@
     kind.answer_bytes = static_cast<std::size_t>(
         table["answer_bytes"].value_or<int64_t>(static_cast<int64_t>(kind.answer_bytes)));
     kind.share = table["share"].value_or(kind.share);
-    kind.priority = static_cast<unsigned>(table["priority"].value_or<int64_t>(kind.priority));
     kind.keyed = table["keyed"].value_or(kind.keyed);
     kind.calls = texts(table["calls"]);
     return kind;
--- a/lab/deployment.hpp
+++ b/lab/deployment.hpp
@@ -27,7 +27,6 @@
     milliseconds work_ms{10};  ///< Average time in a slot, nested calls not counted.
     std::size_t answer_bytes = 256;
     double share = 0;                ///< Of the clients' requests; 0 for kinds that only occur nested.
-    unsigned priority = 5;           ///< As in the deployment's table; for the reports.
     bool keyed = false;              ///< Clients send an Idempotency-Key.
     std::vector<std::string> calls;  ///< Names of kinds called one after the other.
 };
--- a/lab/load.cpp
+++ b/lab/load.cpp
@@ -15,7 +15,6 @@
 
 using nlohmann::json;
 
-constexpr milliseconds kBucket{100};
 constexpr milliseconds kHardPause{10};
 constexpr milliseconds kDefaultComeBack{200};
 constexpr unsigned kOk = 200;
@@ -41,14 +40,6 @@
       caller_(io, std::move(targets), std::random_device{}()),
       random_(std::random_device{}()) {}
 
-double Load::rate_at(Duration elapsed) const {
-    double factor = 1;
-    for (const auto& step : options_.profile) {
-        factor = elapsed >= step.at ? step.factor : factor;
-    }
-    return options_.rate_per_second * factor;
-}
-
 const KindSpec& Load::pick_kind() {
     if (!options_.only_kind.empty()) {
         return *deployment_.kind(options_.only_kind);
@@ -67,42 +58,27 @@
     while (next - started_ < options_.duration_ms) {
         boost::this_fiber::sleep_until(next);
         const auto& kind = pick_kind();
-        record(kind);
         const auto id = options_.id_prefix + std::to_string(++sent_);
         ++running_;
         net::EventLoop::spawn([this, &kind, id] {
             run_request(kind, id);
             --running_;
         });
-        std::exponential_distribution<double> gap(rate_at(next - started_));
+        std::exponential_distribution<double> gap(options_.rate_per_second);
         next += std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap(random_)));
     }
     while (running_ > 0) {
         boost::this_fiber::sleep_for(kHardPause);
     }
     print_summary();
-    write_series();
     return std::all_of(results_.begin(), results_.end(),
                        [](const auto& entry) { return entry.second.wrong == 0; });
 }
 
-void Load::record(const KindSpec& kind) {
-    if (options_.record_file.empty()) {
-        return;
-    }
-    if (!record_.is_open()) {
-        record_.open(options_.record_file);
-    }
-    const auto at_us = std::chrono::duration_cast<microseconds>(TimePoint::clock::now() - started_).count();
-    record_ << at_us << ",request," << kind.name << "," << options_.zone << "\n";
-}
-
 void Load::run_request(const KindSpec& kind, const std::string& id) {
     const auto arrival = TimePoint::clock::now();
     const auto deadline = arrival + options_.client_timeout_ms;
-    const auto bucket_index = static_cast<std::size_t>((arrival - started_) / kBucket);
     ++results_[kind.name].sent;
-    ++series_[{bucket_index, kind.name}].sent;
     Attempt last;
     for (unsigned count = 0; count <= options_.client_retries; ++count) {
         ++results_[kind.name].attempts;
@@ -117,22 +93,17 @@
         }
     }
     KindResult& result = results_[kind.name];
-    Bucket& bucket = series_[{bucket_index, kind.name}];
     if (last.not_run) {
-        ++result.told_not_run;
         not_run_ids_.push_back(id);
     }
     switch (last.outcome) {
         case RequestOutcome::kWhole:
             ++result.whole;
-            ++bucket.whole;
             result.latencies.add(
                 std::chrono::duration<double, std::milli>(TimePoint::clock::now() - arrival).count());
-            whole_ids_.push_back(id);
             break;
         case RequestOutcome::kRefused:
             ++result.refused;
-            ++bucket.refused;
             break;
         case RequestOutcome::kFailed:
             ++result.failed;
@@ -204,7 +175,6 @@
                        {"refused", result.refused},
                        {"failed", result.failed},
                        {"wrong", result.wrong},
-                       {"told_not_run", result.told_not_run},
                        {"p50_ms", result.latencies.percentile_ms(0.5)},
                        {"p99_ms", result.latencies.percentile_ms(0.99)}};
         total.sent += result.sent;
@@ -224,22 +194,8 @@
                        {"p50_ms", total.latencies.percentile_ms(0.5)},
                        {"p99_ms", total.latencies.percentile_ms(0.99)},
                        {"kinds", std::move(kinds)},
-                       {"not_run_ids", not_run_ids_},
-                       {"whole_ids", whole_ids_}};
+                       {"not_run_ids", not_run_ids_}};
     std::cout << summary.dump() << "\n";
 }
 
-void Load::write_series() const {
-    if (options_.series_file.empty()) {
-        return;
-    }
-    std::ofstream file(options_.series_file);
-    file << "time_ms,kind,priority,sent,whole,refused\n";
-    for (const auto& [place, bucket] : series_) {
-        const auto* kind = deployment_.kind(place.second);
-        file << place.first * static_cast<std::size_t>(kBucket.count()) << "," << place.second << ","
-             << kind->priority << "," << bucket.sent << "," << bucket.whole << "," << bucket.refused << "\n";
-    }
-}
-
 }  // namespace anisehold::lab
--- a/lab/load.hpp
+++ b/lab/load.hpp
@@ -2,7 +2,6 @@
 /// The load generator: open-loop arrivals by kind, clients that retry, every answer checked.
 #pragma once
 
-#include <fstream>
 #include <map>
 #include <memory>
 #include <random>
@@ -16,24 +15,14 @@
 
 namespace anisehold::lab {
 
-/// From `at` on, arrivals come at `factor` times the base rate.
-struct RateStep {
-    milliseconds at{0};
-    double factor = 1;
-};
-
 struct LoadOptions {
     double rate_per_second = 100;
     milliseconds duration_ms{10'000};
-    std::vector<RateStep> profile;  ///< In ascending order; empty for a constant rate.
-    std::string only_kind;          ///< Only this kind; empty for the deployment's mix.
+    std::string only_kind;  ///< Only this kind; empty for the deployment's mix.
     unsigned client_retries = 0;
     bool hard = false;  ///< Retries come at once; else after the time that the answer names.
     milliseconds client_timeout_ms{5'000};  ///< For one request with all its retries.
     std::string id_prefix = "r";            ///< Distinguishes several load generators.
-    std::string zone = "zone-1";            ///< Named in the recorded trace.
-    std::string record_file;                ///< CSV trace of all arrivals, for replay; empty for none.
-    std::string series_file;                ///< CSV of outcomes over time; empty for none.
     bool client_delay = true;               ///< Whether the deployment's client delay is simulated.
 };
 
@@ -57,15 +46,8 @@
         std::uint64_t refused = 0;
         std::uint64_t failed = 0;
         std::uint64_t wrong = 0;
-        std::uint64_t told_not_run = 0;
         LatencyHistogram latencies;
     };
-    /// Outcomes in one tenth of a second, by the time of arrival.
-    struct Bucket {
-        std::uint64_t sent = 0;
-        std::uint64_t whole = 0;
-        std::uint64_t refused = 0;
-    };
     struct Attempt {
         RequestOutcome outcome = RequestOutcome::kFailed;
         bool final_answer = false;  ///< Asking again can't help.
@@ -74,13 +56,10 @@
     };
 
     const KindSpec& pick_kind();
-    double rate_at(Duration elapsed) const;
     void run_request(const KindSpec& kind, const std::string& id);
     Attempt attempt(const KindSpec& kind, const std::string& id, TimePoint deadline);
     Attempt judge(const KindSpec& kind, const std::string& id, net::HttpResponse& response) const;
     void print_summary() const;
-    void write_series() const;
-    void record(const KindSpec& kind);
 
     Deployment deployment_;
     LoadOptions options_;
@@ -90,10 +69,7 @@
     std::uint64_t running_ = 0;
     std::uint64_t sent_ = 0;
     std::map<std::string, KindResult> results_;
-    std::map<std::pair<std::size_t, std::string>, Bucket> series_;  // By bucket and kind.
-    std::ofstream record_;
     std::vector<std::string> not_run_ids_;
-    std::vector<std::string> whole_ids_;
 };
 
 }  // namespace anisehold::lab
--- a/lab/machines.hpp
+++ b/lab/machines.hpp
@@ -1,35 +1,24 @@
 /// @file
-/// A stand-in for the platform's machine list, which may lag.
+/// A stand-in for the platform's machine list.
 #pragma once
 
-#include <deque>
 #include <nlohmann/json.hpp>
 
 #include "net/http_server.hpp"
-#include "protocol/time_types.hpp"
 
 namespace anisehold::lab {
 
-/// Serves the list given to it by POST /lab/list, each version only after the set lag.
+/// Serves the list that POST /lab/list gave it last; an empty one before.
 class Machines {
   public:
     explicit Machines(boost::asio::io_context& io);
     std::error_code start(const Endpoint& endpoint);
-    /// Sets the list that is shown at once.
-    void set_list(nlohmann::json groups);
 
   private:
-    struct Version {
-        TimePoint shown_from;
-        nlohmann::json groups;
-    };
-
     net::HttpResponse handle(net::HttpRequest& request);
 
     net::HttpServer server_;
-    std::deque<Version> versions_;
-    milliseconds lag_{0};
-    bool outage_ = false;
+    nlohmann::json groups_ = nlohmann::json::array();
 };
 
 }  // namespace anisehold::lab
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,12 +1,10 @@
 /// @file
-/// `anisehold-lab`: stand-ins, load and fault injection for tests, demos and benches. Never needed in
-/// production.
+/// `anisehold-lab`: stand-ins, load and faults for tests and demos. Never needed in production.
 
 #include <CLI/CLI.hpp>
 #include <boost/fiber/operations.hpp>
-#include <fstream>
 #include <iostream>
-#include <sstream>
+#include <vector>
 
 #include "lab/backend.hpp"
 #include "lab/deployment.hpp"
@@ -54,67 +52,53 @@
     return !error;
 }
 
-/// Options that several commands have.
-struct CommonOptions {
+/// What the command line gave; each command reads its own part.
+struct Options {
     std::string listen;
     std::string deployment_file;
     std::vector<std::string> daemons;
     std::vector<std::string> services;
-
-    bool targets(CallTargets& result) const {
-        return read_endpoints("--daemon", daemons, result.daemons) && parse_service_targets(services, result);
-    }
+    BackendOptions backend;
+    LoadOptions load;
+    long long duration_ms = 10'000;
+    long long timeout_ms = 5'000;
+    bool no_client_delay = false;
+    std::string proxy_target;
+    std::string proxy_control;
+    std::string trace_file;
+    std::string stated_file;
+    std::vector<std::string> without;
 };
 
-void add_target_options(CLI::App& command, CommonOptions& options) {
-    command.add_option("--deployment", options.deployment_file, "Deployment file")->required();
-    command.add_option("--daemon", options.daemons, "Daemon to call through, IP:PORT, nearest first");
-    command.add_option("--direct", options.services, "SERVICE=IP:PORT,... to call straight");
-}
-
-int run_store(net::EventLoop& loop, const CommonOptions& options) {
-    Endpoint listen;
-    if (!read_endpoint("--listen", options.listen, listen)) {
-        return kUsage;
-    }
-    Store store(loop.io());
-    if (!started(store.start(listen), options.listen)) {
-        return kFailed;
-    }
-    loop.wait_for_stop_signal();
-    net::exit_process(kDone);
+bool read_targets(const Options& options, CallTargets& targets) {
+    return read_endpoints("--daemon", options.daemons, targets.daemons) &&
+           parse_service_targets(options.services, targets);
 }
 
-int run_machines(net::EventLoop& loop, const CommonOptions& options, const std::string& list_file) {
+/// Serves with a stand-in until a stop signal comes.
+template <typename StandIn>
+int serve(net::EventLoop& loop, const Options& options) {
     Endpoint listen;
     if (!read_endpoint("--listen", options.listen, listen)) {
         return kUsage;
     }
-    Machines machines(loop.io());
-    if (!list_file.empty()) {
-        std::ifstream file(list_file);
-        auto groups = nlohmann::json::parse(file, nullptr, false);
-        if (!groups.is_array()) {
-            std::cerr << list_file << ": is not a JSON array\n";
-            return kUsage;
-        }
-        machines.set_list(std::move(groups));
-    }
-    if (!started(machines.start(listen), options.listen)) {
+    StandIn stand_in(loop.io());
+    if (!started(stand_in.start(listen), options.listen)) {
         return kFailed;
     }
     loop.wait_for_stop_signal();
     net::exit_process(kDone);
 }
 
-int run_backend(net::EventLoop& loop, const CommonOptions& options, const BackendOptions& backend_options) {
+int run_backend(net::EventLoop& loop, const Options& options) {
     Endpoint listen;
     CallTargets targets;
     auto deployment = load_deployment(options.deployment_file);
-    if (!deployment || !read_endpoint("--listen", options.listen, listen) || !options.targets(targets)) {
+    if (!deployment || !read_endpoint("--listen", options.listen, listen) ||
+        !read_targets(options, targets)) {
         return kUsage;
     }
-    Backend backend(loop.io(), std::move(*deployment), backend_options, std::move(targets));
+    Backend backend(loop.io(), std::move(*deployment), options.backend, std::move(targets));
     if (!started(backend.start(listen), options.listen)) {
         return kFailed;
     }
@@ -127,28 +111,16 @@
     net::exit_process(kDone);
 }
 
-bool parse_profile(const std::vector<std::string>& steps, LoadOptions& options) {
-    for (const auto& step : steps) {
-        std::istringstream text(step);
-        long long at_ms = 0;
-        char separator = 0;
-        double factor = 0;
-        if (!(text >> at_ms >> separator >> factor) || separator != ':') {
-            std::cerr << "--profile: \"" << step << "\" is not MILLISECONDS:FACTOR\n";
-            return false;
-        }
-        options.profile.push_back({milliseconds(at_ms), factor});
-    }
-    return true;
-}
-
-int run_load(net::EventLoop& loop, const CommonOptions& options, LoadOptions load_options,
-             const std::vector<std::string>& profile) {
+int run_load(net::EventLoop& loop, const Options& options) {
     CallTargets targets;
     auto deployment = load_deployment(options.deployment_file);
-    if (!deployment || !options.targets(targets) || !parse_profile(profile, load_options)) {
+    if (!deployment || !read_targets(options, targets)) {
         return kUsage;
     }
+    auto load_options = options.load;
+    load_options.duration_ms = milliseconds(options.duration_ms);
+    load_options.client_timeout_ms = milliseconds(options.timeout_ms);
+    load_options.client_delay = !options.no_client_delay;
     if (!load_options.only_kind.empty() && deployment->kind(load_options.only_kind) == nullptr) {
         std::cerr << "--kind: no such kind\n";
         return kUsage;
@@ -157,14 +129,13 @@
     return load.run() ? kDone : kFailed;
 }
 
-int run_proxy(net::EventLoop& loop, const CommonOptions& options, const std::string& target_text,
-              const std::string& control_text) {
+int run_proxy(net::EventLoop& loop, const Options& options) {
     Endpoint listen;
     Endpoint target;
     Endpoint control;
     if (!read_endpoint("--listen", options.listen, listen) ||
-        !read_endpoint("--target", target_text, target) ||
-        !read_endpoint("--control", control_text, control)) {
+        !read_endpoint("--target", options.proxy_target, target) ||
+        !read_endpoint("--control", options.proxy_control, control)) {
         return kUsage;
     }
     Proxy proxy(loop.io(), target);
@@ -176,15 +147,14 @@
 }
 
 /// Replays a trace and compares with the stated outcomes; prints each kind's.
-int run_replay(const CommonOptions& options, const std::string& trace_file, const std::string& stated_file,
-               const std::vector<std::string>& without) {
+int run_replay(net::EventLoop& /*loop*/, const Options& options) {
     auto deployment = load_deployment(options.deployment_file);
-    const auto trace = load_trace(trace_file);
-    const auto stated = load_stated_outcomes(stated_file);
+    const auto trace = load_trace(options.trace_file);
+    const auto stated = load_stated_outcomes(options.stated_file);
     if (!deployment || !trace || !stated) {
         return kUsage;
     }
-    Replay replay(std::move(*deployment), config::MechanismSet(without));
+    Replay replay(std::move(*deployment), config::MechanismSet(options.without));
     auto outcomes = replay.run(*trace);
     for (const auto& [kind, outcome] : outcomes) {
         std::cout << kind << ": sent=" << outcome.sent << " whole=" << outcome.whole
@@ -201,106 +171,87 @@
     return as_stated ? kDone : kFailed;
 }
 
-int print_table(const CommonOptions& options) {
-    const auto deployment = load_deployment(options.deployment_file);
-    if (!deployment) {
-        return kUsage;
-    }
-    std::cout << deployment->table_csv;
-    return kDone;
+void add_target_options(CLI::App& command, Options& options) {
+    command.add_option("--deployment", options.deployment_file, "Deployment file")->required();
+    command.add_option("--daemon", options.daemons, "Daemon to call through, IP:PORT, nearest first");
+    command.add_option("--direct", options.services, "SERVICE=IP:PORT,... to call straight");
 }
 
-}  // namespace
-
-int run(int argc, char** argv) {
-    CLI::App app{"Stand-ins, load and faults for anisehold"};
-    app.require_subcommand(1);
-    CommonOptions options;
-
-    auto* store = app.add_subcommand("store", "The key-value store");
-    store->add_option("--listen", options.listen, "IP:PORT")->required();
+CLI::App* add_server(CLI::App& app, Options& options, const std::string& name, const std::string& text) {
+    auto* command = app.add_subcommand(name, text);
+    command->add_option("--listen", options.listen, "IP:PORT")->required();
+    return command;
+}
 
-    auto* machines = app.add_subcommand("machines", "The machine list");
-    std::string list_file;
-    machines->add_option("--listen", options.listen, "IP:PORT")->required();
-    machines->add_option("--list", list_file, "JSON file of the list to start with");
+CLI::App* add_backend(CLI::App& app, Options& options) {
+    auto* command = add_server(app, options, "backend", "One back-end server");
+    command->add_option("--service", options.backend.service, "Service of the deployment")->required();
+    command->add_option("--layer-retries", options.backend.layer_retries, "Own retries of nested calls");
+    add_target_options(*command, options);
+    return command;
+}
 
-    auto* backend = app.add_subcommand("backend", "One back-end server");
-    BackendOptions backend_options;
-    long long cold_ms = 0;
-    backend->add_option("--listen", options.listen, "IP:PORT")->required();
-    backend->add_option("--service", backend_options.service, "Service of the deployment")->required();
-    backend->add_option("--cold-ms", cold_ms,
-                        "Time after the start for which work takes three times as long");
-    backend->add_option("--layer-retries", backend_options.layer_retries, "Own retries of nested calls");
-    backend->add_option("--queue", backend_options.queue, "Calls that may wait for a slot");
-    add_target_options(*backend, options);
+CLI::App* add_load(CLI::App& app, Options& options) {
+    auto* command = app.add_subcommand("load", "Clients");
+    auto& load = options.load;
+    command->add_option("--rate", load.rate_per_second, "Requests a second");
+    command->add_option("--duration-ms", options.duration_ms, "Length of the run");
+    command->add_option("--kind", load.only_kind, "Only this kind");
+    command->add_option("--retries", load.client_retries, "Retries of each client");
+    command->add_flag("--hard", load.hard, "Clients retry at once");
+    command->add_option("--timeout-ms", options.timeout_ms, "Patience of a client, retries included");
+    command->add_option("--id-prefix", load.id_prefix, "Start of all request ids");
+    command->add_flag("--no-client-delay", options.no_client_delay,
+                      "Don't simulate the way between clients and system");
+    add_target_options(*command, options);
+    return command;
+}
 
-    auto* load = app.add_subcommand("load", "Clients");
-    LoadOptions load_options;
-    long long duration_ms = 10'000;
-    long long timeout_ms = 5'000;
-    std::vector<std::string> profile;
-    bool no_client_delay = false;
-    load->add_option("--rate", load_options.rate_per_second, "Requests a second");
-    load->add_option("--duration-ms", duration_ms, "Length of the run");
-    load->add_option("--profile", profile, "MILLISECONDS:FACTOR steps of the rate");
-    load->add_option("--kind", load_options.only_kind, "Only this kind");
-    load->add_option("--retries", load_options.client_retries, "Retries of each client");
-    load->add_flag("--hard", load_options.hard, "Clients retry at once");
-    load->add_option("--timeout-ms", timeout_ms, "Patience of a client, retries included");
-    load->add_option("--id-prefix", load_options.id_prefix, "Start of all request ids");
-    load->add_option("--series", load_options.series_file, "CSV file of outcomes over time");
-    load->add_option("--record", load_options.record_file, "CSV trace of all arrivals, for replay");
-    load->add_option("--zone", load_options.zone, "Zone named in the trace");
-    load->add_flag("--no-client-delay", no_client_delay, "Don't simulate the way between clients and system");
-    add_target_options(*load, options);
+CLI::App* add_proxy(CLI::App& app, Options& options) {
+    auto* command = add_server(app, options, "proxy", "A TCP proxy with faults");
+    command->add_option("--target", options.proxy_target, "IP:PORT")->required();
+    command->add_option("--control", options.proxy_control, "IP:PORT of the control endpoint")->required();
+    return command;
+}
 
-    auto* proxy = app.add_subcommand("proxy", "A TCP proxy with faults");
-    std::string target;
-    std::string control;
-    proxy->add_option("--listen", options.listen, "IP:PORT")->required();
-    proxy->add_option("--target", target, "IP:PORT")->required();
-    proxy->add_option("--control", control, "IP:PORT of the control endpoint")->required();
+CLI::App* add_replay(CLI::App& app, Options& options) {
+    auto* command = app.add_subcommand("replay", "Replay a trace in virtual time against stated outcomes");
+    command->add_option("--deployment", options.deployment_file, "Deployment file")->required();
+    command->add_option("--trace", options.trace_file, "Trace, CSV")->required();
+    command->add_option("--stated", options.stated_file, "Stated outcomes, CSV")->required();
+    command->add_option("--without", options.without, "Mechanism to switch off");
+    return command;
+}
 
-    auto* table = app.add_subcommand("table", "Print a deployment's table as CSV");
-    table->add_option("--deployment", options.deployment_file, "Deployment file")->required();
+struct Command {
+    const CLI::App* parser;
+    int (*run)(net::EventLoop&, const Options&);
+};
 
-    auto* replay = app.add_subcommand("replay", "Replay a trace in virtual time against stated outcomes");
-    std::string trace_file;
-    std::string stated_file;
-    std::vector<std::string> without;
-    replay->add_option("--deployment", options.deployment_file, "Deployment file")->required();
-    replay->add_option("--trace", trace_file, "Trace, CSV")->required();
-    replay->add_option("--stated", stated_file, "Stated outcomes, CSV")->required();
-    replay->add_option("--without", without, "Mechanism to switch off");
+}  // namespace
 
+int run(int argc, char** argv) {
+    CLI::App app{"Stand-ins, load and faults for anisehold"};
+    app.require_subcommand(1);
+    Options options;
+    const std::vector<Command> commands{
+        {add_server(app, options, "store", "The key-value store"), serve<Store>},
+        {add_server(app, options, "machines", "The machine list"), serve<Machines>},
+        {add_backend(app, options), run_backend},
+        {add_load(app, options), run_load},
+        {add_proxy(app, options), run_proxy},
+        {add_replay(app, options), run_replay},
+    };
     CLI11_PARSE(app, argc, argv);
-    if (replay->parsed()) {
-        return run_replay(options, trace_file, stated_file, without);
-    }
-    if (table->parsed()) {
-        return print_table(options);
-    }
     net::EventLoop loop;
-    int status = kDone;
-    if (store->parsed()) {
-        status = run_store(loop, options);
-    } else if (machines->parsed()) {
-        status = run_machines(loop, options, list_file);
-    } else if (backend->parsed()) {
-        backend_options.cold_ms = milliseconds(cold_ms);
-        status = run_backend(loop, options, backend_options);
-    } else if (load->parsed()) {
-        load_options.duration_ms = milliseconds(duration_ms);
-        load_options.client_timeout_ms = milliseconds(timeout_ms);
-        load_options.client_delay = !no_client_delay;
-        status = run_load(loop, options, load_options, profile);
-    } else {
-        status = run_proxy(loop, options, target, control);
+    for (const auto& command : commands) {
+        if (command.parser->parsed()) {
+            const int status = command.run(loop, options);
+            std::cout.flush();
+            net::exit_process(status);
+        }
     }
-    std::cout.flush();
-    net::exit_process(status);
+    return kUsage;
 }
 
 }  // namespace anisehold::lab
--- a/lab/platform_server.cpp
+++ b/lab/platform_server.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned kUnavailable = 503;
 constexpr const char* kHealthPath = "/health";
 constexpr milliseconds kPoll{5};
-constexpr milliseconds kBeatTimeout{1'000};
+constexpr milliseconds kHeartbeatTimeout{1'000};
 constexpr milliseconds kLongestHang{30'000};
 constexpr milliseconds kDefaultDeadline{5'000};
 
@@ -103,12 +103,12 @@
 std::error_code PlatformServer::start() {
     const auto error = server_->start(options_.listen);
     if (!error) {
-        net::EventLoop::spawn([this] { beat_periodically(); });
+        net::EventLoop::spawn([this] { send_heartbeats(); });
     }
     return error;
 }
 
-bool PlatformServer::beat(bool draining) {
+bool PlatformServer::send_heartbeat(bool draining) {
     const json body{
         {"born", born_ms_},
         {"address", options_.registered.text()},
@@ -119,19 +119,13 @@
           {"slots", options_.slots}}},
         {"status",
          {{"state", draining ? "draining" : "ready"}, {"sequence", ++sequence_}, {"coldRemaining", "0ms"}}}};
-    auto request = net::make_request("PUT", "/-/instances/" + options_.instance, body.dump());
-    request.fields.set("Content-Type", "application/json");
-    net::ExchangeProgress progress;
-    std::error_code error;
-    const auto response =
-        control_.exchange(request, {TimePoint::clock::now() + kBeatTimeout}, progress, error);
-    return response && response->status == kOk;
+    return write_entry(options_.instance, body.dump()) == kOk;
 }
 
-void PlatformServer::beat_periodically() {
+void PlatformServer::send_heartbeats() {
     while (true) {
         if (is_up_) {
-            beat(draining_);
+            send_heartbeat(draining_);
         }
         boost::this_fiber::sleep_for(options_.heartbeat_interval);
     }
@@ -139,14 +133,14 @@
 
 bool PlatformServer::drain() {
     draining_ = true;
-    return beat(true);
+    return send_heartbeat(true);
 }
 
-void PlatformServer::say_left() {
+void PlatformServer::deregister() {
     auto request = net::make_request("DELETE", "/-/instances/" + options_.instance);
     net::ExchangeProgress progress;
     std::error_code error;
-    control_.exchange(request, {TimePoint::clock::now() + kBeatTimeout}, progress, error);
+    control_.exchange(request, {TimePoint::clock::now() + kHeartbeatTimeout}, progress, error);
 }
 
 unsigned PlatformServer::write_entry(const std::string& instance, const std::string& body) {
@@ -155,12 +149,12 @@
     net::ExchangeProgress progress;
     std::error_code error;
     const auto response =
-        control_.exchange(request, {TimePoint::clock::now() + kBeatTimeout}, progress, error);
+        control_.exchange(request, {TimePoint::clock::now() + kHeartbeatTimeout}, progress, error);
     return response ? response->status : 0;
 }
 
 void PlatformServer::replace(const std::string& instance) {
-    say_left();
+    deregister();
     options_.instance = instance;
     draining_ = false;
     sequence_ = 0;
@@ -191,17 +185,19 @@
     return response;
 }
 
+net::HttpResponse PlatformServer::answer(unsigned status, const std::string& id,
+                                         const std::string& body) const {
+    auto response = net::make_response(status, "text/plain", body);
+    response.fields.set("Request-Id", faults.answers_another ? "another" : id);
+    return response;
+}
+
 net::HttpResponse PlatformServer::handle(net::HttpRequest& request, net::CancelSignal& cancel) {
     if (request.target == kHealthPath) {
         return answer_health();
     }
     ++arrivals_;
     const auto id = text_of(request, "Request-Id");
-    const auto answer = [&](unsigned status, const std::string& body) {
-        auto response = net::make_response(status, "text/plain", body);
-        response.fields.set("Request-Id", faults.answers_another ? "another" : id);
-        return response;
-    };
     const bool misdirected = text_of(request, "Expected-Instance") != options_.instance;
     const bool declined = faults.declines || running_ >= options_.slots;
     if (observer_) {
@@ -210,21 +206,34 @@
                    request.fields.find("Authorization").has_value()});
     }
     if (misdirected) {
-        return answer(kMisdirected, "");
+        return answer(kMisdirected, id, "");
     }
     if (declined) {
-        auto refusal = answer(kUnavailable, "");
+        auto refusal = answer(kUnavailable, id, "");
         refusal.fields.set("Not-Executed", "1");
         return refusal;
     }
+    return run(request, id, cancel);
+}
+
+void PlatformServer::count_run(const net::HttpRequest& request, const std::string& id) {
     ++running_;
     most_running_ = std::max(most_running_, running_);
     ++runs_[id];
     callers_[id] = text_of(request, "Caller-Service");
     tenants_[id] = text_of(request, "Tenant");
     keys_seen_ += request.fields.find("Authorization") ? 1 : 0;
+}
+
+bool PlatformServer::is_fatal(const std::string& target) const {
+    return !faults.fatal_target.empty() && target.find(faults.fatal_target) != std::string::npos;
+}
+
+net::HttpResponse PlatformServer::run(const net::HttpRequest& request, const std::string& id,
+                                      net::CancelSignal& cancel) {
+    count_run(request, id);
     const auto deadline = deadline_of(request);
-    if (!faults.fatal_target.empty() && request.target.find(faults.fatal_target) != std::string::npos) {
+    if (is_fatal(request.target)) {
         boost::this_fiber::sleep_for(options_.fatal_after);
         crash();
         return cut_answer();
@@ -239,7 +248,7 @@
     if (faults.loses_answers) {
         return cut_answer();
     }
-    auto response = answer(calls_served ? kOk : kFailed, options_.service + " " + request.target);
+    auto response = answer(calls_served ? kOk : kFailed, id, options_.service + " " + request.target);
     if (!faults.forgets_signature) {
         response.fields.set("Server-Signature", options_.instance + "." + id);
     }
--- a/lab/platform_server.hpp
+++ b/lab/platform_server.hpp
@@ -70,7 +70,7 @@
     /// Says that it is draining; true once that is acknowledged.
     bool drain();
     /// Says that it leaves.
-    void leave() { say_left(); }
+    void leave() { deregister(); }
     /// Sends a heartbeat's call with any body, as another writer might; the status of the answer, or 0.
     unsigned write_entry(const std::string& instance, const std::string& body);
     /// Goes over to another instance at the same address, as if a new server had been given it: the old one
@@ -78,17 +78,17 @@
     void replace(const std::string& instance);
     /// Ends as a process does that is killed: all connections are reset and nobody listens, for `down_time`.
     void crash();
-    /// The observer is told of each crash.
+    /// The observer sees each crash.
     void observe_crashes(std::function<void()> observer) { crash_observer_ = std::move(observer); }
     bool is_up() const { return is_up_; }
     const std::string& instance() const { return options_.instance; }
-    /// The observer is told of each request, before it is run.
+    /// The observer sees each request, before it is run.
     void observe(std::function<void(const ServerArrival&)> observer) { observer_ = std::move(observer); }
     /// Requests that ran, by id.
     const std::map<std::string, unsigned>& runs() const { return runs_; }
-    /// The callers that were told, by id of the request.
+    /// The callers that requests named, by id of the request.
     const std::map<std::string, std::string>& callers() const { return callers_; }
-    /// The tenants that were told, by id of the request; empty where none was.
+    /// The tenants that requests named, by id of the request; empty where none was.
     const std::map<std::string, std::string>& tenants() const { return tenants_; }
     /// Requests that came with their caller's key.
     std::size_t keys_seen() const { return keys_seen_; }
@@ -101,11 +101,16 @@
     std::unique_ptr<net::HttpServer> make_listener();
     void come_back();
     net::HttpResponse handle(net::HttpRequest& request, net::CancelSignal& cancel);
+    net::HttpResponse run(const net::HttpRequest& request, const std::string& id, net::CancelSignal& cancel);
+    /// Counts that a request runs.
+    void count_run(const net::HttpRequest& request, const std::string& id);
+    bool is_fatal(const std::string& target) const;
+    net::HttpResponse answer(unsigned status, const std::string& id, const std::string& body) const;
     net::HttpResponse answer_health() const;
     bool make_calls(const std::string& id, TimePoint deadline);
-    bool beat(bool draining);
-    void say_left();
-    void beat_periodically();
+    bool send_heartbeat(bool draining);
+    void deregister();
+    void send_heartbeats();
 
     PlatformServerOptions options_;
     std::function<void(const ServerArrival&)> observer_;
--- a/lab/store.cpp
+++ b/lab/store.cpp
@@ -120,21 +120,13 @@
         return apply_control(request, [this](const json& faults) {
             faults_.outage = faults.value("outage", faults_.outage);
             faults_.lose_answers = faults.value("lose_answers", faults_.lose_answers);
-            faults_.slow_ms = faults.value("slow_ms", faults_.slow_ms);
-            faults_.rate_per_second = faults.value("rate_per_second", faults_.rate_per_second);
             faults_.stale_by = faults.value("stale_by", faults_.stale_by);
             changed_.notify_all();
         });
     }
-    if (faults_.slow_ms > 0) {
-        boost::this_fiber::sleep_for(milliseconds(faults_.slow_ms));
-    }
     if (faults_.outage) {
         return json_answer(503, {{"error", "unavailable"}, {"code", 14}});
     }
-    if (over_rate()) {
-        return json_answer(429, {{"error", "too many requests"}, {"code", 8}});
-    }
     const auto body = json::parse(request.body.prefix, nullptr, false);
     if (!body.is_object()) {
         return json_answer(400, {{"error", "not JSON"}, {"code", 3}});
@@ -162,18 +154,6 @@
     return json_answer(404, {{"error", "not found"}, {"code", 5}});
 }
 
-bool Store::over_rate() {
-    if (faults_.rate_per_second == 0) {
-        return false;
-    }
-    const auto now = TimePoint::clock::now();
-    if (now - rate_window_ >= seconds(1)) {
-        rate_window_ = now;
-        rate_count_ = 0;
-    }
-    return ++rate_count_ > faults_.rate_per_second;
-}
-
 json Store::header() const {
     return {{"revision", std::to_string(revision_)}};
 }
--- a/lab/store.hpp
+++ b/lab/store.hpp
@@ -18,11 +18,9 @@
 
 /// What goes wrong. Set through the control endpoint by the names of the members.
 struct StoreFaults {
-    bool outage = false;            ///< Every request is answered 503.
-    bool lose_answers = false;      ///< Writes take effect, and the connection is cut before the answer.
-    long long slow_ms = 0;          ///< Every answer is held back this long.
-    long long rate_per_second = 0;  ///< More requests are answered 429; 0 for no limit.
-    long long stale_by = 0;         ///< Ranges are answered as of this many revisions ago.
+    bool outage = false;        ///< Every request is answered 503.
+    bool lose_answers = false;  ///< Writes take effect, and the connection is cut before the answer.
+    long long stale_by = 0;     ///< Ranges are answered as of this many revisions ago.
 };
 
 /// Serves one store in memory.
@@ -52,7 +50,6 @@
     void write(const std::string& key, const std::string& value);
     std::uint64_t mod_revision(const std::string& key) const;
     nlohmann::json header() const;
-    bool over_rate();
     net::HttpResponse after_write(net::HttpResponse answer) const;
 
     net::HttpServer server_;
@@ -62,8 +59,6 @@
     std::vector<Event> events_;
     boost::fibers::mutex mutex_;
     boost::fibers::condition_variable changed_;
-    TimePoint rate_window_;
-    long long rate_count_ = 0;
 };
 
 }  // namespace anisehold::lab
--- a/tests/integration/bad_input_test.cpp
+++ b/tests/integration/bad_input_test.cpp
@@ -100,7 +100,7 @@
 
     SECTION("a bad table in the store leaves the old one in force") {
         const auto before = fleet.get(daemon.admin, "/status")->at("table_revision");
-        fleet.post(fleet.store_control(), "/v3/kv/put",
+        fleet.post(fleet.store(), "/v3/kv/put",
                    {{"key", "L2FuaXNlaG9sZC90YWJsZQ=="}, {"value", "bm9uc2Vuc2U="}});
         CHECK(fleet.eventually(seconds(3), [&] {
             net::HttpClient client(Fleet::loop().io(), daemon.admin);
--- a/tests/integration/claims_proof_test.cpp
+++ b/tests/integration/claims_proof_test.cpp
@@ -54,11 +54,11 @@
     fleet.restart(daemons[0].name);
     Fleet::pause(milliseconds(4'000));
     fleet.freeze(daemons[1].name);
-    fleet.set_faults(fleet.store_control(), {{"outage", true}});
+    fleet.set_faults(fleet.store(), {{"outage", true}});
     Fleet::pause(milliseconds(3'000));
     fleet.thaw(daemons[1].name);
     Fleet::pause(milliseconds(1'000));
-    fleet.set_faults(fleet.store_control(), {{"outage", false}});
+    fleet.set_faults(fleet.store(), {{"outage", false}});
     finish_triplets(fleet);
     const auto executions = fleet.executions("pay-dues");
     CHECK(executions.started.size() > 400);
--- a/tests/integration/table_proof_test.cpp
+++ b/tests/integration/table_proof_test.cpp
@@ -42,9 +42,9 @@
     CHECK(exported.output.find("book,request,POST bookings /bookings,1,9,") != std::string::npos);
     CHECK(exported.output.find("pay-dues,request,POST bookings /dues,1,8,") != std::string::npos);
 
-    fleet.set_faults(fleet.store_control(), {{"lose_answers", true}});
+    fleet.set_faults(fleet.store(), {{"lose_answers", true}});
     const auto lost = fleet.run_table({"set", "book.weight=3"});
-    fleet.set_faults(fleet.store_control(), {{"lose_answers", false}});
+    fleet.set_faults(fleet.store(), {{"lose_answers", false}});
     CHECK(lost.status == 0);
     CHECK(lost.output.find("accepted: change ") == 0);
     const auto change = lost.output.substr(17, 16);
@@ -61,7 +61,7 @@
     const auto revision = store_revision_of_table(fleet) + 1;
     fleet.eventually(seconds(3), [&] { return all_have(fleet, revision); });
     const auto in_force = store_revision_of_table(fleet);
-    fleet.set_faults(fleet.store_control(), {{"outage", true}});
+    fleet.set_faults(fleet.store(), {{"outage", true}});
     const auto& restarted = fleet.daemons()[2];
     fleet.kill(restarted.name);
     fleet.restart(restarted.name);
@@ -82,11 +82,11 @@
     REQUIRE(fleet.run_table({"set", "book.weight=9"}).status == 0);
     REQUIRE(fleet.run_table({"set", "book.weight=8"}).status == 0);
     CHECK(fleet.eventually(seconds(5), [&] { return revision_at(fleet, daemons[0]) >= before + 2; }));
-    fleet.set_faults(fleet.store_control(), {{"stale_by", 2}});
+    fleet.set_faults(fleet.store(), {{"stale_by", 2}});
     // The watch breaks, so that daemons ask the store again and get stale answers.
-    fleet.set_faults(fleet.store_control(), {{"outage", true}});
+    fleet.set_faults(fleet.store(), {{"outage", true}});
     Fleet::pause(milliseconds(2'500));
-    fleet.set_faults(fleet.store_control(), {{"outage", false}});
+    fleet.set_faults(fleet.store(), {{"outage", false}});
     fleet.thaw(daemons[2].name);
     std::map<std::string, std::uint64_t> highest;
     bool reverted = false;
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -69,18 +69,10 @@
 void Fleet::plan() {
     const auto next = [this] { return Endpoint{"127.0.0.1", next_port_++}; };
     store_ = next();
-    store_seen_ = options_.proxy_store ? next() : store_;
-    store_proxy_control_ = options_.proxy_store ? next() : store_;
     machines_ = next();
     const auto& zones = deployment_.zones;
-    for (std::size_t place = 0; options_.with_daemons && place < zones.size() * options_.daemons_per_zone;
-         ++place) {
-        const auto& zone = zones[place % zones.size()];
-        const auto number = std::to_string(place / zones.size() + 1);
-        std::string name = "daemon-";
-        name += zone;
-        name += "-" + number;
-        daemons_.push_back({name, zone, next(), next(), next()});
+    for (const auto& zone : zones) {
+        daemons_.push_back({"daemon-" + zone + "-1", zone, next(), next(), next()});
     }
     for (const auto& service : deployment_.services) {
         for (unsigned server = 0; server < service.servers; ++server) {
@@ -103,10 +95,6 @@
     return found;
 }
 
-Endpoint Fleet::store_proxy_control() const {
-    return store_proxy_control_;
-}
-
 void Fleet::start_process(const std::string& name, const std::string& program,
                           const std::vector<std::string>& arguments) {
     std::remove(out_file(name).c_str());
@@ -157,10 +145,6 @@
     start_process(name, program, arguments);
 }
 
-bool Fleet::is_running(const std::string& name) {
-    return process(name).child.running();
-}
-
 std::string Fleet::get_text(const Endpoint& server, const std::string& target) {
     net::HttpClient client(loop().io(), server);
     auto request = net::make_request("GET", target);
@@ -208,20 +192,11 @@
         return false;
     }
     publish_machine_list();
-    if (!options_.with_daemons) {
-        return eventually(kStartTimeout,
-                          [this] { return get(backends_.back().listen, "/health").has_value(); });
-    }
     return accept_table() && (start_daemons(), wait_until_ready());
 }
 
 void Fleet::start_stand_ins() {
     start_process("store", "anisehold-lab", {"store", "--listen", store_.text()});
-    if (options_.proxy_store) {
-        start_process("store-proxy", "anisehold-lab",
-                      {"proxy", "--listen", store_seen_.text(), "--target", store_.text(), "--control",
-                       store_proxy_control_.text()});
-    }
     start_process("machines", "anisehold-lab", {"machines", "--listen", machines_.text()});
 }
 
@@ -230,16 +205,6 @@
     for (const auto index : daemon_order) {
         flags.insert(flags.end(), {"--daemon", daemons_[index].call.text()});
     }
-    for (const auto& service : deployment_.services) {
-        if (options_.with_daemons) {
-            break;
-        }
-        std::string servers;
-        for (const auto& place : backends_of(service.name)) {
-            servers += (servers.empty() ? "" : ",") + place.seen.text();
-        }
-        flags.insert(flags.end(), {"--direct", service.name + "=" + servers});
-    }
     return flags;
 }
 
@@ -260,9 +225,7 @@
                                            "--service",
                                            place.service,
                                            "--layer-retries",
-                                           std::to_string(options_.layer_retries),
-                                           "--queue",
-                                           std::to_string(options_.back_end_queue)};
+                                           std::to_string(options_.layer_retries)};
         const auto flags = target_flags(order);
         arguments.insert(arguments.end(), flags.begin(), flags.end());
         start_process(place.name, "anisehold-lab", arguments);
@@ -293,13 +256,13 @@
             "--daemon-admin=" + place.admin.text(),
             std::string("--daemon-mesh-key=") + kMeshKey,
             "--daemon-operator-token=lab-operator",
-            "--platform-stores=" + store_seen_.text(),
+            "--platform-stores=" + store_.text(),
             "--platform-machine-list=" + machines_.text(),
-            "--platform-poll-ms=" + std::to_string(options_.poll_ms),
+            "--platform-poll-ms=500",
             "--membership-seeds=" + seeds,
-            "--membership-period-ms=" + std::to_string(options_.membership_period_ms),
-            "--claims-window-ms=" + std::to_string(options_.claims_window_ms),
-            "--backends-initial-limit=" + std::to_string(options_.initial_limit),
+            "--membership-period-ms=200",
+            "--claims-window-ms=60000",
+            "--backends-initial-limit=8",
             "--lab-enabled=true",
         };
         if (!without.empty()) {
@@ -312,7 +275,7 @@
 
 bool Fleet::accept_table() {
     const auto file_name = run_folder_ + "/table.csv";
-    std::ofstream(file_name) << (options_.table_csv.empty() ? deployment_.table_csv : options_.table_csv);
+    std::ofstream(file_name) << deployment_.table_csv;
     return eventually(kStartTimeout, [&] { return run_table({"accept", file_name}).status == 0; });
 }
 
@@ -337,7 +300,7 @@
 }
 
 Fleet::CommandResult Fleet::run_table(const std::vector<std::string>& arguments) {
-    std::vector<std::string> all{"table", "--store", store_seen_.text()};
+    std::vector<std::string> all{"table", "--store", store_.text()};
     if (!daemons_.empty()) {
         all.insert(all.end(), {"--daemon", daemons_.front().admin.text()});
     }
@@ -377,7 +340,6 @@
         for (const auto& [request_id, count] : counts->at("kinds").at(kind).items()) {
             total.started[request_id] += count.at("started").get<unsigned>();
             total.committed[request_id] += count.at("committed").get<unsigned>();
-            total.slot_seconds[request_id] += count.at("slot_seconds").get<double>();
         }
     }
     return total;
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Starts a whole deployment as separate processes on loopback, for integration tests, demo and bench.
+/// Starts a whole deployment as separate processes on loopback, for integration tests and the demo.
 #pragma once
 
 #include <boost/process/child.hpp>
@@ -20,19 +20,10 @@
 struct FleetOptions {
     std::string deployment = "cooperative";
     std::uint16_t base_port = 21'000;
-    bool with_daemons = true;  ///< Without: back ends and clients call each other straight.
-    unsigned daemons_per_zone = 1;
-    unsigned layer_retries = 0;        ///< Retries of each back end for its nested calls.
-    std::vector<std::string> without;  ///< Mechanisms switched off in all daemons.
-    long long claims_window_ms = 60'000;
-    long long poll_ms = 500;
-    long long initial_limit = 8;
-    long long membership_period_ms = 200;
-    bool proxy_backends = false;  ///< A fault-injecting proxy before each back end.
-    bool proxy_store = false;     ///< A fault-injecting proxy before the store.
-    unsigned back_end_queue = 200;
+    unsigned layer_retries = 0;             ///< Retries of each back end for its nested calls.
+    std::vector<std::string> without;       ///< Mechanisms switched off in all daemons.
+    bool proxy_backends = false;            ///< A fault-injecting proxy before each back end.
     std::vector<std::string> daemon_flags;  ///< More flags for every daemon.
-    std::string table_csv;                  ///< Instead of the deployment's table.
 };
 
 /// One process.
@@ -78,9 +69,7 @@
     const std::vector<DaemonPlace>& daemons() const { return daemons_; }
     const std::vector<BackendPlace>& backends() const { return backends_; }
     std::vector<BackendPlace> backends_of(const std::string& service) const;
-    Endpoint store() const { return store_seen_; }
-    Endpoint store_control() const { return store_; }
-    Endpoint store_proxy_control() const;
+    Endpoint store() const { return store_; }
     Endpoint machines() const { return machines_; }
 
     /// Signals to a process by name.
@@ -92,8 +81,6 @@
     std::optional<int> wait_for_exit(const std::string& name, Duration timeout);
     /// Starts a process again that has ended.
     void restart(const std::string& name);
-    bool is_running(const std::string& name);
-    int process_id(const std::string& name) { return process(name).child.id(); }
 
     /// GET or POST (with a body) of JSON; nothing if no JSON answer came.
     std::optional<nlohmann::json> get(const Endpoint& server, const std::string& target);
@@ -127,7 +114,6 @@
     struct Executions {
         std::map<std::string, unsigned> started;
         std::map<std::string, unsigned> committed;
-        std::map<std::string, double> slot_seconds;
     };
     Executions executions(const std::string& kind);
 
@@ -161,8 +147,6 @@
     std::string run_folder_;
     std::uint16_t next_port_;
     Endpoint store_;
-    Endpoint store_seen_;
-    Endpoint store_proxy_control_;
     Endpoint machines_;
     std::vector<DaemonPlace> daemons_;
     std::vector<BackendPlace> backends_;
