--- /dev/null
+++ b/src/sidecar/attempt_outcome.cpp
@@ -0,0 +1,69 @@
+#include "sidecar/attempt_outcome.hpp"
+
+#include <algorithm>
+
+namespace anisehold::sidecar {
+
+using hop::HopOutcome;
+using retry::AttemptOutcome;
+
+GateAnswer without_answer(HopOutcome outcome, ErrorKind error, Duration retry_after) {
+    GateAnswer answer;
+    answer.result.outcome = outcome;
+    answer.result.error = error;
+    answer.result.retry_after = milliseconds(std::max(0LL, to_milliseconds(retry_after)));
+    return answer;
+}
+
+bool is_failed_answer(const GateAnswer& answer) {
+    return answer.response && net::is_server_error(answer.response->status);
+}
+
+bool is_good_answer(const GateAnswer& answer) {
+    return answer.response && !net::is_server_error(answer.response->status);
+}
+
+admission::SampleOutcome sample_of(const GateAnswer& answer) {
+    switch (answer.result.outcome) {
+        case HopOutcome::kAnswered:
+            return admission::SampleOutcome::kCompleted;
+        case HopOutcome::kRefusedByServer:
+            return admission::SampleOutcome::kShed;
+        case HopOutcome::kNotSent:
+        case HopOutcome::kUnknown:
+            return admission::SampleOutcome::kIgnored;
+    }
+    return admission::SampleOutcome::kIgnored;
+}
+
+AttemptOutcome outcome_of(const GateAnswer& answer) {
+    switch (answer.result.outcome) {
+        case HopOutcome::kAnswered:
+            return is_failed_answer(answer) ? AttemptOutcome::kFailedAnswer : AttemptOutcome::kAnswered;
+        case HopOutcome::kNotSent:
+            return AttemptOutcome::kNotSent;
+        case HopOutcome::kRefusedByServer:
+            return AttemptOutcome::kRefusedByServer;
+        case HopOutcome::kUnknown:
+            return AttemptOutcome::kUnknown;
+    }
+    return AttemptOutcome::kUnknown;
+}
+
+bool is_server_failure(const GateAnswer& answer) {
+    const auto outcome = answer.result.outcome;
+    return outcome == HopOutcome::kUnknown || outcome == HopOutcome::kRefusedByServer;
+}
+
+ErrorKind error_for_caller(ErrorKind error, bool may_have_run) {
+    const auto execution = answer_for(error).execution;
+    if (may_have_run && execution == Execution::kNotRun) {
+        // A refusal would promise that the request has not run.
+        return ErrorKind::kOutcomeUnknown;
+    }
+    const bool fears_a_run =
+        !may_have_run && execution == Execution::kMayHaveRun && error != ErrorKind::kCancelled;
+    return fears_a_run || error == ErrorKind::kConnectFailed ? ErrorKind::kNoBackend : error;
+}
+
+}  // namespace anisehold::sidecar
--- a/src/sidecar/call_ingress.hpp
+++ b/src/sidecar/call_ingress.hpp
@@ -1,29 +1,42 @@
 /// @file
 /// Takes requests of this machine's clients and server, and sees each to its final answer.
+///
+/// The questions are asked in this order. Each names the file of its rule, and the error kinds that a refusal
+/// gives the caller; their status and whether the caller may come back are in protocol/error_kind.cpp.
+///
+///  1. Is there a configuration? sidecar/configuration_holder; `kNoTable`.
+///  2. Does a route match? routing/configuration; `kUnknownService`.
+///  3. Does the request have an id? The dialect; `kBadRequest`.
+///  4. Who calls, with which priority? tenancy/caller_verdict; `kUnauthorized`, `kKeyUnproven`.
+///  5. Which service takes it? routing/weighted_split.
+///  6. Is it known to crash servers? suspects/crash_ledger; `kCrashesServers`.
+///  7. If a client sent it (admission/origin_estimator): is there capacity? overload/root_limit;
+///     `kOverloaded`.
+///  8. Is its tenant within the quota? tenancy/token_cache, tenancy/quota_bucket; `kQuotaExceeded`,
+///     `kQuotaUnknown`.
+///  9. Which server is it sent to, and how often? sidecar/call_attempts; see there.
+/// 10. Does that server's gate admit it? sidecar/local_gate; see there.
+///
+/// Only the last three block the request's fiber.
 #pragma once
 
-#include <memory>
 #include <optional>
 #include <string>
-#include <vector>
 
-#include "membership/peer_directory.hpp"
-#include "net/fiber_signal.hpp"
-#include "retry/attempt_plan.hpp"
-#include "retry/window_budget.hpp"
+#include "net/http_types.hpp"
+#include "protocol/error_kind.hpp"
 #include "routing/weighted_split.hpp"
-#include "selection/server_selection.hpp"
+#include "sidecar/call_attempts.hpp"
 #include "sidecar/configuration_holder.hpp"
 #include "sidecar/crash_exchange.hpp"
-#include "sidecar/hop_client.hpp"
-#include "sidecar/local_gate.hpp"
+#include "sidecar/incoming_call.hpp"
 #include "sidecar/proof_keeper.hpp"
 #include "sidecar/quota_exchange.hpp"
 #include "sidecar/sidecar_context.hpp"
 
 namespace anisehold::sidecar {
 
-/// Route, choose, send, repeat where that is allowed, answer.
+/// Decides what happens to a request before it is sent, and makes the answer of how its attempts ended.
 class CallIngress {
   public:
     CallIngress(SidecarContext& context, ConfigurationHolder& configuration,
@@ -35,104 +48,30 @@
     /// Answers a request that could not be read.
     net::HttpResponse reject(ErrorKind kind);
     /// Follows changed settings.
-    void apply_settings();
+    void apply_settings() { attempts_.apply_settings(); }
 
   private:
-    /// One request on its way.
-    struct Call {
-        std::string request_id;
-        RequestIdentity identity;
-        std::string route;
-        std::string row;  ///< The route, and the request's rank: what the limit of root requests tells apart.
-        std::string service;
-        routing::HostRoute terms;
-        tenancy::TenantName tenant;  ///< Empty for a request that belongs to none.
-        bool hides_key = false;      ///< The server is told a tenant in place of the key.
-        bool holds_token = false;    ///< It counts against its tenant's quota.
-        double inherited_retry = 0;  ///< How likely the run that makes this call is a repeat.
-        std::uint64_t configuration_version = 0;
-        TimePoint received;
-        TimePoint deadline;
-        std::vector<std::string> tried;  ///< Instances that were sent the request, or refused it.
-        std::string servers;             ///< The same for the log, with outcomes.
-    };
-    /// One sending of a request to one server.
-    struct Attempt {
-        membership::KnownServer server;
-        net::CancelSignal cancel;
-        net::ExchangeProgress progress;
-        GateAnswer answer;
-        TimePoint started;
-        bool ended = false;
-        bool taken = false;  ///< Its outcome was fed to the plan.
-    };
-    /// The attempts of one request; shared with their fibers, which may outlast it.
-    struct AttemptBoard {
-        net::HttpRequest request;
-        net::FiberSignal changed;
-        std::vector<std::shared_ptr<Attempt>> attempts;
-    };
-    /// How a request ended, when no server answered it.
-    struct Failure {
-        ErrorKind error = ErrorKind::kNoBackend;
-        milliseconds retry_after{0};  ///< 0: nothing better is known than the default.
-    };
-
-    /// What happens to one request between its arrival and its answer.
-    struct Flight {
-        explicit Flight(const retry::AttemptTerms& terms) : plan(terms), slow_after(terms.hedge_after) {}
-
-        retry::AttemptPlan plan;
-        Duration slow_after;  ///< Time after which a silent server is slow for this request.
-        std::shared_ptr<AttemptBoard> board = std::make_shared<AttemptBoard>();
-        std::shared_ptr<Attempt> best;  ///< The good answer, or a server's failure for want of one.
-        Failure failure;                ///< The last one.
-        bool streamed = false;          ///< The body is read off the client's connection as it is sent on.
-    };
-
-    std::optional<Failure> prepare(const net::HttpRequest& request, Call& call);
+    /// Asks all questions before the attempts; what the request is refused with, if it is.
+    std::optional<CallFailure> prepare(const net::HttpRequest& request, IncomingCall& call);
     /// Finds out whose request it is, and whether it may be served.
-    std::optional<Failure> admit_caller(const routing::Configuration& configuration,
-                                        const net::HttpRequest& request, Call& call);
+    std::optional<CallFailure> admit_caller(const routing::Configuration& configuration,
+                                            const net::HttpRequest& request, IncomingCall& call);
+    /// Whether a client's request would meet a service without capacity.
+    bool is_refused_early(const IncomingCall& call);
     /// Counts the request against its tenant's quota; blocks its fiber for a moment.
-    std::optional<Failure> take_token(const routing::Configuration& configuration, Call& call);
-    /// Whether the request would meet a service without room.
-    bool is_refused_early(const Call& call);
-    /// Servers beside peers, and the one beside this daemon. Holds until the next call.
-    membership::ServiceView candidates(const std::string& service, TimePoint now);
-    /// The server that the request is sent to next, or null. `running`: attempts that haven't ended.
-    const membership::KnownServer* choose_server(const Call& call, TimePoint now, unsigned running);
-    net::HttpResponse run(Call& call, net::HttpRequest& request, net::CancelSignal& cancel);
-    /// Takes the step that the plan named; false if that was the last one.
-    bool advance(Call& call, Flight& flight, retry::AttemptStep step, const membership::KnownServer* server,
-                 TimePoint now);
-    /// `repeat` in [0, 1]: how likely the attempt counts as a repeat at its service.
-    void launch(Call& call, Flight& flight, const membership::KnownServer& server, double retry);
-    /// Feeds ended attempts to the plan.
-    void take_outcomes(Call& call, Flight& flight);
-    void cancel_attempts(Call& call, Flight& flight);
-    net::HttpResponse conclude(Call& call, Flight& flight, retry::AttemptStep step);
-    retry::AttemptTerms terms_of(const Call& call, const net::HttpRequest& request, TimePoint now);
-    /// Tells the limit of root requests and the gate of this machine's server how the request ended.
-    void note_overload(const Call& call, const Failure* failure, const GateAnswer* answered);
-    net::HttpResponse answer(Call& call, net::HttpResponse response);
-    net::HttpResponse fail(Call& call, const Failure& failure, bool may_have_run);
-    net::HttpResponse error_response(const Failure& failure, const std::string& request_id) const;
-    void log(const Call& call, const std::string& outcome, bool served) const;
+    std::optional<CallFailure> take_token(const routing::Configuration& configuration, IncomingCall& call);
+    net::HttpResponse answer(const IncomingCall& call, net::HttpResponse response);
+    net::HttpResponse fail(const IncomingCall& call, const CallFailure& failure, bool may_have_run);
+    net::HttpResponse error_response(const CallFailure& failure, const std::string& request_id) const;
+    void log(const IncomingCall& call, const std::string& outcome, bool served) const;
 
     SidecarContext& context_;
     ConfigurationHolder& configuration_;
-    membership::PeerDirectory& directory_;
-    LocalGate& gate_;
     ProofKeeper& proofs_;
     QuotaExchange& quotas_;
     CrashExchange& crashes_;
-    HopClient hops_;
+    CallAttempts attempts_;
     routing::WeightedSplit split_;
-    selection::SelectionState selection_;
-    retry::WindowBudget budget_;
-    TimePoint started_;
-    std::vector<membership::KnownServer> own_servers_;  ///< What the last candidates point to.
 };
 
 }  // namespace anisehold::sidecar
--- a/src/sidecar/hop_client.cpp
+++ b/src/sidecar/hop_client.cpp
@@ -23,11 +23,9 @@
     return limits;
 }
 
-GateAnswer without_answer(HopOutcome outcome, ErrorKind error, const std::string& instance) {
-    GateAnswer answer;
-    answer.result.outcome = outcome;
-    answer.result.error = error;
-    answer.result.instance = instance;
+GateAnswer failure_at(const hop::HopRequest& call, HopOutcome outcome, ErrorKind error) {
+    auto answer = without_answer(outcome, error);
+    answer.result.instance = call.instance;
     return answer;
 }
 
@@ -68,13 +66,12 @@
         if (!gave_up && error != std::errc::timed_out) {
             directory_.on_unreachable(server.peer, server.boot_id);
         }
-        return progress.request_started
-                   ? without_answer(HopOutcome::kUnknown, ErrorKind::kBackendFailed, call.instance)
-                   : without_answer(HopOutcome::kNotSent, ErrorKind::kConnectFailed, call.instance);
+        return progress.request_started ? failure_at(call, HopOutcome::kUnknown, ErrorKind::kBackendFailed)
+                                        : failure_at(call, HopOutcome::kNotSent, ErrorKind::kConnectFailed);
     }
     const auto result = hop::decode_hop_result(response->fields.find(hop::kResultHeader).value_or(""));
     if (!result) {
-        return without_answer(HopOutcome::kUnknown, ErrorKind::kBackendFailed, call.instance);
+        return failure_at(call, HopOutcome::kUnknown, ErrorKind::kBackendFailed);
     }
     directory_.on_load(server.peer, load_of(*result));
     GateAnswer answer;
--- a/src/sidecar/hop_client.hpp
+++ b/src/sidecar/hop_client.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Sends requests to the gates of other daemons.
+/// Sends requests to the gates of other daemons (hop/hop_header), and takes their results. Owns the
+/// connections to peers; what a result shows of a server's load goes to the directory of peers.
 #pragma once
 
 #include <map>
@@ -7,7 +8,7 @@
 
 #include "membership/peer_directory.hpp"
 #include "net/http_client.hpp"
-#include "sidecar/local_gate.hpp"
+#include "sidecar/attempt_outcome.hpp"
 #include "sidecar/sidecar_context.hpp"
 
 namespace anisehold::sidecar {
@@ -18,7 +19,8 @@
     HopClient(SidecarContext& context, membership::PeerDirectory& directory)
         : context_(context), directory_(directory) {}
 
-    /// Runs a request at the gate beside `server`. Blocks the fiber.
+    /// Runs a request at the gate beside `server`. Without an answer of that gate: `kConnectFailed` if
+    /// nothing was sent, `kBackendFailed` if the request may have run. Blocks the fiber.
     GateAnswer run(const membership::KnownServer& server, net::HttpRequest request,
                    const hop::HopRequest& call, net::CancelSignal* cancel, net::ExchangeProgress& progress);
 
--- a/src/sidecar/local_gate.cpp
+++ b/src/sidecar/local_gate.cpp
@@ -40,27 +40,8 @@
     return limits;
 }
 
-admission::SampleOutcome sample_of(const GateAnswer& answer) {
-    switch (answer.result.outcome) {
-        case HopOutcome::kAnswered:
-            return admission::SampleOutcome::kCompleted;
-        case HopOutcome::kRefusedByServer:
-            return admission::SampleOutcome::kShed;
-        default:
-            return admission::SampleOutcome::kIgnored;
-    }
-}
-
 }  // namespace
 
-GateAnswer refusal(HopOutcome outcome, ErrorKind error, Duration retry_after) {
-    GateAnswer answer;
-    answer.result.outcome = outcome;
-    answer.result.error = error;
-    answer.result.retry_after = milliseconds(std::max(0LL, to_milliseconds(retry_after)));
-    return answer;
-}
-
 RegistryChange LocalGate::on_registration(TimePoint now, const RegistrationCall& call) {
     const auto& heartbeat = call.heartbeat;
     const auto change = call.leaves ? registry_.on_leave(now, heartbeat.instance, heartbeat.born)
@@ -186,7 +167,7 @@
     const auto identity = identity_of(request, call.caller);
     const auto* registered = registry_.find_ready(call.instance);
     if (registered == nullptr) {
-        auto answer = refusal(HopOutcome::kNotSent, ErrorKind::kNoBackend, Duration::zero());
+        auto answer = without_answer(HopOutcome::kNotSent, ErrorKind::kNoBackend, Duration::zero());
         answer.result.instance = call.instance;
         log(request_id, identity.digest, call, answer, arrived, Duration::zero());
         return answer;
@@ -200,14 +181,14 @@
     std::optional<GateAnswer> refused;
     const auto turn = take_turn(*server, identity, call, arrived, cancel);
     if (crashes_.is_condemned(TimePoint::clock::now(), identity)) {
-        refused = refusal(HopOutcome::kNotSent, ErrorKind::kCrashesServers, Duration::zero());
+        refused = without_answer(HopOutcome::kNotSent, ErrorKind::kCrashesServers, Duration::zero());
     } else if (!turn) {
-        refused = refusal(HopOutcome::kNotSent, ErrorKind::kQueueTimeout, server->latency);
+        refused = without_answer(HopOutcome::kNotSent, ErrorKind::kQueueTimeout, server->latency);
     } else if (!context_.has(Mechanism::kConnectBackoff) ||
                connection::takeAttempt(server->backoff, arrived)) {
         refused = wait_for_admission(*server, call, id, deadline, cancel);
     } else {
-        refused = refusal(HopOutcome::kNotSent, ErrorKind::kConnectFailed, Duration::zero());
+        refused = without_answer(HopOutcome::kNotSent, ErrorKind::kConnectFailed, Duration::zero());
     }
     const auto started = TimePoint::clock::now();
     note_use(*server, started);
@@ -216,7 +197,7 @@
         answer = std::move(*refused);
     } else {
         if (registry_.find_ready(call.instance) == nullptr) {
-            answer = refusal(HopOutcome::kNotSent, ErrorKind::kNoBackend, Duration::zero());
+            answer = without_answer(HopOutcome::kNotSent, ErrorKind::kNoBackend, Duration::zero());
         } else {
             answer = run_admitted(*server, id, request, identity, call, deadline, cancel, progress);
         }
@@ -252,13 +233,13 @@
     ++running_;
     running_retries_ += call.retry_percent;
     const auto now = TimePoint::clock::now();
-    overload::noteRunBegan(context_.work, now, call.row);
+    context_.overload.on_run_began(now, call.row);
     server.crash.began(id, {{identity, crashes_.crashes_of(now, identity)}, &progress});
     auto answer = exchange(server, request, call, deadline, cancel, progress);
     server.crash.ended(id);
     --running_;
     running_retries_ -= call.retry_percent;
-    overload::noteRunEnded(context_.work, TimePoint::clock::now(), call.row);
+    context_.overload.on_run_ended(TimePoint::clock::now(), call.row);
     if (answer.result.outcome == HopOutcome::kAnswered) {
         crashes_.on_answered(identity);
     }
@@ -285,7 +266,7 @@
         return std::nullopt;
     }
     if (decision.verdict == admission::GateVerdict::kRefused) {
-        return refusal(HopOutcome::kNotSent, decision.refusal, decision.retry_after);
+        return without_answer(HopOutcome::kNotSent, decision.refusal, decision.retry_after);
     }
     const auto waiter = std::make_shared<Waiter>();
     server.waiters[id] = waiter;
@@ -300,7 +281,7 @@
         return std::nullopt;
     }
     server.gate.abandon(id);
-    return refusal(HopOutcome::kNotSent, ErrorKind::kQueueTimeout, decision.retry_after);
+    return without_answer(HopOutcome::kNotSent, ErrorKind::kQueueTimeout, decision.retry_after);
 }
 
 void LocalGate::observe(Server& server, TimePoint started, TimePoint now, const GateAnswer& answer,
@@ -355,10 +336,8 @@
 }
 
 void LocalGate::mark_overload_below(TimePoint started, GateAnswer& answer) const {
-    const bool failed = answer.response && net::is_server_error(answer.response->status);
-    const auto& sign = context_.last_overload;
-    if (failed && sign.seen >= started) {
-        answer.result.overloaded_service = sign.service;
+    if (is_failed_answer(answer)) {
+        answer.result.overloaded_service = context_.overload.overloaded_since(started);
     }
 }
 
--- a/src/sidecar/local_gate.hpp
+++ b/src/sidecar/local_gate.hpp
@@ -20,6 +20,7 @@
 #include "overload/use_meter.hpp"
 #include "registration/server_registry.hpp"
 #include "selection/failure_share.hpp"
+#include "sidecar/attempt_outcome.hpp"
 #include "sidecar/crash_exchange.hpp"
 #include "sidecar/crash_watch.hpp"
 #include "sidecar/sidecar_context.hpp"
@@ -27,16 +28,6 @@
 
 namespace anisehold::sidecar {
 
-/// What became of a request at a gate, with the server's answer if it gave one.
-struct GateAnswer {
-    hop::HopResult result;
-    std::optional<net::HttpResponse> response;
-};
-
-/// What a request gets that no server answered. `retry_after`: when room is expected, zero if that isn't
-/// known.
-GateAnswer refusal(hop::HopOutcome outcome, ErrorKind error, Duration retry_after);
-
 /// All requests for this machine's server pass here, so its state is known exactly.
 class LocalGate {
   public:
--- a/src/sidecar/peer_exchange.cpp
+++ b/src/sidecar/peer_exchange.cpp
@@ -76,20 +76,12 @@
     record.configuration_version = configuration_.version();
     record.watches_store = context_.watches_store;
     record.client_routes = context_.origins.own_verdicts();
-    measure_works();
-    record.pressures = overload::ownReport(context_.root_limit);
+    context_.overload.measure_works();
+    record.pressures = context_.overload.own_report();
     record.servers = gate_.records(TimePoint::clock::now());
     return record;
 }
 
-void PeerExchange::measure_works() {
-    auto& limit = context_.root_limit;
-    for (const auto& [service, state] : limit.services) {
-        overload::setOwnWorks(limit, service,
-                              overload::worksAt(context_.work, limit, context_.settings.service, service));
-    }
-}
-
 void PeerExchange::announce() {
     announced_ = TimePoint::clock::now();
     send_record_to(directory_.addresses());
@@ -105,11 +97,11 @@
 void PeerExchange::announce_periodically() {
     while (true) {
         const auto periods =
-            membership::record_periods(directory_.counts(), overload::isUnderPressure(context_.root_limit));
-        context_.root_limit.period = periods.near;
+            membership::record_periods(directory_.counts(), context_.overload.is_under_pressure());
+        context_.overload.set_period(periods.near);
         const auto period =
             std::chrono::duration_cast<Duration>(periods.near * (0.9 + 0.2 * context_.random_unit()));
-        const bool is_onset = context_.pressure_rose.wait_until(TimePoint::clock::now() + period);
+        const bool is_onset = context_.overload.wait_for_onset(TimePoint::clock::now() + period);
         if (is_onset) {
             boost::this_fiber::sleep_for(kOnsetCount);
             announce_onset();
@@ -129,7 +121,7 @@
 }
 
 void PeerExchange::announce_onset() {
-    const auto reports = overload::ownReport(context_.root_limit);
+    const auto reports = context_.overload.own_report();
     const bool refused_here =
         std::any_of(reports.begin(), reports.end(), [](const auto& each) { return each.recentRefused > 0; });
     // Those that only heard of it have nothing to tell, and in a large fleet all would tell all.
@@ -160,7 +152,7 @@
 }
 
 void PeerExchange::end_limit_period(TimePoint now) {
-    for (const auto& move : overload::endPeriod(context_.root_limit, now, uses_of_services(now))) {
+    for (const auto& move : context_.overload.end_period(now, uses_of_services(now))) {
         log_event(Event::kRootLimitMoved, {{"service", move.service},
                                            {"from", std::to_string(move.from)},
                                            {"to", std::to_string(move.to)},
@@ -187,12 +179,7 @@
     const bool was_told = directory_.knows(record->name) && listened && now - announced_ < kAnswerPause;
     const auto change = directory_.on_record(now, *record);
     if (change != PeerChange::kNone && context_.has(config::Mechanism::kFleetCounts)) {
-        const bool was_calm = !overload::isUnderPressure(context_.root_limit);
-        overload::notePeerReport(context_.root_limit, now, record->name, record->pressures);
-        if (was_calm && overload::isUnderPressure(context_.root_limit) &&
-            context_.has(config::Mechanism::kOnsetReports)) {
-            context_.pressure_rose.give();
-        }
+        context_.overload.on_peer_report(now, record->name, record->pressures);
     }
     if (change == PeerChange::kAppeared && !was_told) {
         socket_.send(record->gossip, encode(own_record()));
--- a/src/sidecar/peer_exchange.hpp
+++ b/src/sidecar/peer_exchange.hpp
@@ -44,8 +44,6 @@
     void send_record_to(const std::vector<membership::PeerAddress>& peers);
     void receive(std::string_view bytes);
     membership::PeerRecord own_record();
-    /// Brings up to date what requests at this machine's server bring to other services.
-    void measure_works();
     /// Gets the configuration from a peer that has a higher version.
     void fetch_configuration(const Endpoint& peer, std::uint64_t version);
 
--- /dev/null
+++ b/src/sidecar/server_chooser.hpp
@@ -0,0 +1,46 @@
+/// @file
+/// Chooses the server of each attempt: gathers what is known of the service's servers, and asks the rule.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "membership/peer_directory.hpp"
+#include "protocol/request_digest.hpp"
+#include "selection/server_selection.hpp"
+#include "sidecar/crash_exchange.hpp"
+#include "sidecar/local_gate.hpp"
+#include "sidecar/sidecar_context.hpp"
+
+namespace anisehold::sidecar {
+
+/// The rules are `selection::chooseServer` and, for a request under which servers have crashed,
+/// `suspects::chooseForSuspect`. Owns what this daemon has seen of servers itself.
+class ServerChooser {
+  public:
+    ServerChooser(SidecarContext& context, membership::PeerDirectory& directory, const LocalGate& gate,
+                  const CrashExchange& crashes);
+
+    /// The server that the request is sent to next, or null if there is none. `tried`: instances that had it
+    /// before; `running`: attempts that haven't ended. The result holds until the next call.
+    const membership::KnownServer* choose(TimePoint now, const std::string& service,
+                                          const RequestIdentity& identity,
+                                          const std::vector<std::string>& tried, unsigned running);
+    /// The request was sent to the server.
+    void on_sent(const std::string& instance) { selection::noteSent(selection_, instance); }
+    /// Its attempt there ended.
+    void on_ended(TimePoint now, const std::string& instance, const selection::AttemptEnd& end);
+
+  private:
+    /// Servers beside peers, and the one beside this daemon. Holds until the next call.
+    membership::ServiceView candidates(const std::string& service, TimePoint now);
+
+    SidecarContext& context_;
+    membership::PeerDirectory& directory_;
+    const LocalGate& gate_;
+    const CrashExchange& crashes_;
+    selection::SelectionState selection_;
+    std::vector<membership::KnownServer> own_servers_;  ///< What the last candidates point to.
+};
+
+}  // namespace anisehold::sidecar
--- a/src/sidecar/server_exchange.cpp
+++ b/src/sidecar/server_exchange.cpp
@@ -28,7 +28,7 @@
                                TimePoint deadline, net::CancelSignal* cancel,
                                net::ExchangeProgress& progress) {
     if (cancel != nullptr && cancel->check()) {
-        return refusal(HopOutcome::kNotSent, ErrorKind::kCancelled, Duration::zero());
+        return without_answer(HopOutcome::kNotSent, ErrorKind::kCancelled, Duration::zero());
     }
     const auto now = TimePoint::clock::now();
     const auto request_id = context_.dialect.read_client_call(request).id;
@@ -48,20 +48,20 @@
     auto response = send_once(server, request, options, progress, error);
     if (!response) {
         if (!progress.request_started) {
-            return refusal(HopOutcome::kNotSent, ErrorKind::kConnectFailed, Duration::zero());
+            return without_answer(HopOutcome::kNotSent, ErrorKind::kConnectFailed, Duration::zero());
         }
         const bool gave_up = cancel != nullptr && cancel->cancelled();
         if (!gave_up && error != std::errc::timed_out) {
             look_for_crash(server, call);
         }
-        return refusal(HopOutcome::kUnknown, ErrorKind::kBackendFailed, Duration::zero());
+        return without_answer(HopOutcome::kUnknown, ErrorKind::kBackendFailed, Duration::zero());
     }
     GateAnswer answer;
     switch (context_.dialect.nature_of(*response)) {
         case AnswerNature::kNotRun:
-            return refusal(HopOutcome::kRefusedByServer, ErrorKind::kBackendRefused, server.latency);
+            return without_answer(HopOutcome::kRefusedByServer, ErrorKind::kBackendRefused, server.latency);
         case AnswerNature::kSpoiled:
-            return refusal(HopOutcome::kUnknown, ErrorKind::kBackendFailed, Duration::zero());
+            return without_answer(HopOutcome::kUnknown, ErrorKind::kBackendFailed, Duration::zero());
         case AnswerNature::kGenuine:
             answer.result.outcome = HopOutcome::kAnswered;
             answer.response = std::move(response);
--- a/src/sidecar/sidecar_context.hpp
+++ b/src/sidecar/sidecar_context.hpp
@@ -8,11 +8,9 @@
 
 #include "admission/origin_estimator.hpp"
 #include "config/sidecar_settings.hpp"
-#include "net/fiber_signal.hpp"
 #include "observability/metrics.hpp"
-#include "overload/root_limit.hpp"
-#include "overload/work_estimate.hpp"
 #include "protocol/time_types.hpp"
+#include "sidecar/overload_tracker.hpp"
 #include "sidecar/wire_dialect.hpp"
 
 namespace boost::asio {
@@ -21,19 +19,16 @@
 
 namespace anisehold::sidecar {
 
-/// The last sign that a service refuses calls of this machine for overload.
-struct OverloadSign {
-    TimePoint seen;
-    std::string service;
-};
-
 /// Settings, identity and tools of this process.
 struct SidecarContext {
     SidecarContext(boost::asio::io_context& io_context, const WireDialect& wire_dialect,
                    config::SidecarSettings sidecar_settings)
-        : io(io_context), dialect(wire_dialect), settings(std::move(sidecar_settings)), random(seed()) {
+        : io(io_context),
+          dialect(wire_dialect),
+          settings(std::move(sidecar_settings)),
+          random(seed()),
+          overload(settings) {
         boot_id = random();
-        root_limit.ownName = settings.name;
     }
 
     /// Whether the lab has left a mechanism in force.
@@ -47,15 +42,12 @@
     observability::Metrics metrics;
     std::mt19937_64 random;
     std::uint64_t boot_id = 0;
-    OverloadSign last_overload;
     admission::OriginEstimator origins;
-    overload::RootLimitState root_limit;
-    overload::WorkEstimate work;     ///< Of the requests at this machine's server.
-    net::FiberSignal pressure_rose;  ///< Calls were refused after a calm time: reports shouldn't wait.
-    bool stopping = false;           ///< A planned stop has begun; callers are asked to turn away.
-    bool leaving = false;            ///< Peers are told to send nothing more.
-    bool watches_store = false;      ///< This daemon has a working watch of the configuration.
-    bool knows_fleet = false;        ///< The list of members was read, or there is no way to it.
+    OverloadTracker overload;
+    bool stopping = false;       ///< A planned stop has begun; callers are asked to turn away.
+    bool leaving = false;        ///< Peers are told to send nothing more.
+    bool watches_store = false;  ///< This daemon has a working watch of the configuration.
+    bool knows_fleet = false;    ///< The list of members was read, or there is no way to it.
 
   private:
     static std::uint64_t seed() {
