--- a/src/admission/policy/knee_limit.cpp
+++ b/src/admission/policy/knee_limit.cpp
@@ -8,7 +8,7 @@
 
 /// Shares of the slots that are compared. A wrong choice must cost little: what changes a server's times
 /// while its load changes too, a slow moment for one, looks like a knee, as it did when five shares were
-/// compared (docs/measurements/tessellino.md). The values are chosen, not measured.
+/// compared (docs/design/overload.md). The values are chosen, not measured.
 constexpr std::array<double, 3> kShares{1.0, 0.94, 0.88};
 /// Calls that began with fewer than this part of a step's limit in flight say nothing of it. Chosen, not
 /// measured.
--- a/src/overload/admitted_share.cpp
+++ b/src/overload/admitted_share.cpp
@@ -8,21 +8,21 @@
 namespace
 {
 
-/** Share of calls that may be refused without a limit: single refusals. Chosen, not measured; 0.15, each
-    daemon by itself, let calls be refused further down that had cost work (docs/DESIGN.md, the limit's
-    table). */
+/** Share of calls that may be refused without a limit: single refusals. With 0.15, and each daemon by its
+    own requests, a day of overload was worth 0.546 in place of 0.572 (docs/design/overload.md); the value
+    itself is chosen, not measured. */
 constexpr double toleratedShare = 0.005;
 /** Ended calls of the fleet in a period below which refusals bring no limit about. Chosen, not measured. */
 constexpr std::uint32_t leastEnded = 20;
 /** A request makes several calls, and stops at the first that is refused: more must be kept out than the
     share of refused calls says. A chain of four calls of which each is refused with a sixth makes 3.1 of
-    them; without refusals as many calls come from 0.64 of the requests, which is a weight of 3.4. Measured on
-    a mesh with such a chain at 1.7 times its usual load, one day each: worth 0.629 with 2, 0.646 with 3.5
-    (docs/design/shifted-work.md). */
+    them; without refusals as many calls come from 0.64 of the requests, which is a weight of 3.4.
+    Measured on a mesh with such a chain at 1.7 times its usual load, one day each: worth 0.629 with 2,
+    0.646 with 3.5; 0.672 with 200 records a second besides (docs/design/tenants.md). */
 constexpr double refusalWeight = 3.5;
 /** Part of the way up to the right share that one period goes. Slower rises, together with unreachable
-    servers passed over, moved the worth of five days by -0.012 to +0.019, one trial each (docs/DESIGN.md, the
-    limit's table); the value itself is chosen, not measured. */
+    servers passed over, moved the worth of five days by -0.012 to +0.019, one trial each; the value
+    itself is chosen, not measured. */
 constexpr double riseGain = 0.5;
 /** Bounds of the right share, as factors of the one that was measured: at least, in a period, and added at
     most, a second. Chosen, not measured. */
--- a/src/overload/capacity_share.cpp
+++ b/src/overload/capacity_share.cpp
@@ -14,7 +14,7 @@
     In a model of a chain with a third of its capacity left (three rows of 8, 4 and 1 calls, mean of 10
     seeds) 0.257 of all requests were served, and two rows not at all, when nothing was kept; 0.296, and
     0.07 and 0.53 of those rows, so. A most of 0.4 serves 0.305 of all, but of the first row 0.46 in place
-    of 0.52 (docs/design/room-and-repeats.md; tests/incidents/chain_model). */
+    of 0.52 (docs/design/capacity-and-retries.md; tests/incidents/chain_model). */
 constexpr double keptPerLack = 1.0;
 constexpr double leastKept = 0.08;
 constexpr double mostKept = 0.25;
--- a/src/overload/row_reach.cpp
+++ b/src/overload/row_reach.cpp
@@ -15,7 +15,7 @@
 /** Part of the row's requests that must have failed so. Where calls are refused, each fails a whole
     request. Both guard rows that don't call the service: with one failure as proof, 129 requests of such
     a row were refused on a day, with a limit like this none (trouble-3, one play each; no gain or loss of
-    worth beyond the spread of plays, docs/measurements/tessellino.md). The two values themselves are
+    worth beyond the spread of plays, docs/design/overload.md). The two values themselves are
     chosen, not measured. */
 constexpr double leastPartFailed = 0.1;
 
--- a/src/retry/window_budget.hpp
+++ b/src/retry/window_budget.hpp
@@ -27,7 +27,7 @@
     /// Share of the bound that is spent on attempts without an answer. The rest covers the estimate of which
     /// calls are made by retried runs. Worth of four days, one play each, with 0.3 at each level and with
     /// this and calls of retried runs counted: 0.374 and 0.420, 0.619 and 0.629, 0.731 and 0.742, 0.624 and
-    /// 0.603 (docs/design/shifted-work.md).
+    /// 0.603 (docs/design/tenants.md).
     double no_answer_share = 0.85;
     /// Share beyond which nothing is spent on failed answers and slow attempts. Chosen, not measured.
     double doubtful_share = 0.1;
@@ -44,7 +44,7 @@
 /// little is saved up. Whenever a process is killed, what it spent and what its successor earns are then
 /// within the bound together. In a model of 13 daemons that are killed while half of all attempts are
 /// declined, up to 1.41 of the bound was used when whole windows were saved up, and up to 0.92 so; without
-/// kills 0.85 both ways (docs/design/room-and-repeats.md). The extra isn't earned, so a new process does
+/// kills 0.85 both ways (docs/design/capacity-and-retries.md). The extra isn't earned, so a new process does
 /// without it for its first window.
 ///
 /// A retried run makes its calls again, and these count as retries at the called services. So a call brings
--- a/src/sidecar/crash_exchange.hpp
+++ b/src/sidecar/crash_exchange.hpp
@@ -35,7 +35,7 @@
 /// after that each daemon reports to one random peer a second, so that those that were cut off learn of it
 /// too. A verdict is written to the store, with one call, so that it outlasts a kill of all daemons. At once:
 /// with 200 ms until peers know, 4.7 servers crashed in the model in place of 3.0
-/// (docs/design/fatal-requests.md).
+/// (docs/design/suspects.md).
 class CrashExchange {
   public:
     using Send = std::function<void(const Endpoint& to, std::string_view bytes)>;
--- a/src/sidecar/peer_exchange.cpp
+++ b/src/sidecar/peer_exchange.cpp
@@ -28,7 +28,7 @@
 constexpr milliseconds kAnswerPause{500};
 /// When calls begin to be refused, counts are taken for this time before they are reported: long enough for a
 /// verdict at some hundred calls a second of the fleet. With onset reports the mean worth of 15 days rose
-/// from 0.493 to 0.510 (docs/measurements/tessellino.md); the value itself is chosen.
+/// from 0.493 to 0.510 (docs/design/overload.md); the value itself is chosen.
 constexpr milliseconds kOnsetCount{100};
 /// And the peers' counts are waited for so long; ways between zones take some milliseconds. Chosen, not
 /// measured.
@@ -80,20 +80,12 @@
     record.configuration_version = configuration_.version();
     record.watches_store = context_.watches_store;
     record.client_routes = context_.origins.own_verdicts();
-    measure_works();
-    record.pressures = overload::ownReport(context_.root_limit);
+    context_.overload.measure_works();
+    record.pressures = context_.overload.own_report();
     record.servers = gate_.records(TimePoint::clock::now());
     return record;
 }
 
-void PeerExchange::measure_works() {
-    auto& limit = context_.root_limit;
-    for (const auto& [service, state] : limit.services) {
-        overload::setOwnWorks(limit, service,
-                              overload::worksAt(context_.work, limit, context_.settings.service, service));
-    }
-}
-
 void PeerExchange::announce() {
     announced_ = TimePoint::clock::now();
     send_record_to(directory_.addresses());
@@ -109,11 +101,11 @@
 void PeerExchange::announce_periodically() {
     while (true) {
         const auto periods =
-            membership::record_periods(directory_.counts(), overload::isUnderPressure(context_.root_limit));
-        context_.root_limit.period = periods.near;
+            membership::record_periods(directory_.counts(), context_.overload.is_under_pressure());
+        context_.overload.set_period(periods.near);
         const auto period =
             std::chrono::duration_cast<Duration>(periods.near * (0.9 + 0.2 * context_.random_unit()));
-        const bool is_onset = context_.pressure_rose.wait_until(TimePoint::clock::now() + period);
+        const bool is_onset = context_.overload.wait_for_onset(TimePoint::clock::now() + period);
         if (is_onset) {
             boost::this_fiber::sleep_for(kOnsetCount);
             announce_onset();
@@ -133,7 +125,7 @@
 }
 
 void PeerExchange::announce_onset() {
-    const auto reports = overload::ownReport(context_.root_limit);
+    const auto reports = context_.overload.own_report();
     const bool refused_here =
         std::any_of(reports.begin(), reports.end(), [](const auto& each) { return each.recentRefused > 0; });
     // Those that only heard of it have nothing to report, and in a large fleet all would report to all.
@@ -164,7 +156,7 @@
 }
 
 void PeerExchange::end_limit_period(TimePoint now) {
-    for (const auto& move : overload::endPeriod(context_.root_limit, now, utilizations(now))) {
+    for (const auto& move : context_.overload.end_period(now, utilizations(now))) {
         log_event(Event::kRootLimitMoved, {{"service", move.service},
                                            {"from", std::to_string(move.from)},
                                            {"to", std::to_string(move.to)},
@@ -191,12 +183,7 @@
     const bool has_record = directory_.knows(record->name) && listened && now - announced_ < kAnswerPause;
     const auto change = directory_.on_record(now, *record);
     if (change != PeerChange::kNone && context_.has(config::Mechanism::kFleetCounts)) {
-        const bool was_calm = !overload::isUnderPressure(context_.root_limit);
-        overload::notePeerReport(context_.root_limit, now, record->name, record->pressures);
-        if (was_calm && overload::isUnderPressure(context_.root_limit) &&
-            context_.has(config::Mechanism::kOnsetReports)) {
-            context_.pressure_rose.give();
-        }
+        context_.overload.on_peer_report(now, record->name, record->pressures);
     }
     if (change == PeerChange::kAppeared && !has_record) {
         socket_.send(record->gossip, encode(own_record()));
--- a/src/sidecar/proof_keeper.cpp
+++ b/src/sidecar/proof_keeper.cpp
@@ -16,7 +16,7 @@
 /// A watcher's proof is renewed at this age: with a request of a peer each `kRequestPeriod` the others'
 /// proofs are mostly younger than two seconds, which leaves some three of a revocation time of five for an
 /// outage. All ages and periods here are chosen; measured was the whole: 703 to 1,359 calls to the store a
-/// day at 71 daemons, at a price of 0.006 to 0.009 (docs/design/shifted-work.md).
+/// day at 71 daemons, at a price of 0.006 to 0.009 (docs/design/tenants.md).
 constexpr milliseconds kWatcherReadAge{1'000};
 /// More of it, drawn at random: the watchers ask each other meanwhile, so that one's read serves several.
 constexpr milliseconds kWatcherReadSpread{400};
--- a/src/suspects/crash_ledger.hpp
+++ b/src/suspects/crash_ledger.hpp
@@ -14,7 +14,7 @@
     Owns what this daemon knows (CrashLedger); sidecar/crash_exchange keeps it, and shares it with peers
     and the store. In a model of 14 daemons and 4 servers, 40 days each, a fatal request crashed 3.0
     servers in the mean and no other request failed; when nothing was remembered 19.2 and 0.643
-    (docs/design/fatal-requests.md). Pure.
+    (docs/design/suspects.md). Pure.
 */
 #pragma once
 
--- a/src/suspects/suspect_server.hpp
+++ b/src/suspects/suspect_server.hpp
@@ -1,7 +1,7 @@
 /** Which server a suspect is sent to, in place of the usual choice (selection/server_selection). Relies on
     rendezvous hashing over the servers that are known. Measured in the model: where servers crash of
     themselves as well, 3.0 crashes at most (3) with it, up to 5 with any server
-    (docs/design/fatal-requests.md). Pure. */
+    (docs/design/suspects.md). Pure. */
 #pragma once
 
 #include <string>
--- a/src/tenancy/quota_bucket.hpp
+++ b/src/tenancy/quota_bucket.hpp
@@ -5,7 +5,7 @@
     a tenant's requests comes to which daemon, and an equal share a daemon, which for a small tenant is
     less than one request a second, isn't needed. In simulated time, 71 daemons: a usual tenant is served
     whole, by equal shares to 0.73; one at five times its quota runs 599 requests in five seconds where
-    680 are allowed (docs/design/shifted-work.md). Pure.
+    680 are allowed (docs/design/tenants.md). Pure.
 */
 #pragma once
 
