--- a/src/admission/adaptive_throttle.cpp
+++ b/src/admission/adaptive_throttle.cpp
@@ -23,8 +23,8 @@
 }  // namespace
 
 double AdaptiveThrottle::Service::admitted_share(unsigned priority) const {
-    const auto place = std::distance(priorities.begin(), priorities.lower_bound(priority));
-    return std::clamp(admitted_priorities - static_cast<double>(place), 0.0, 1.0);
+    const auto position = std::distance(priorities.begin(), priorities.lower_bound(priority));
+    return std::clamp(admitted_priorities - static_cast<double>(position), 0.0, 1.0);
 }
 
 void AdaptiveThrottle::advance(TimePoint now, Service& service) {
--- a/src/protocol/retry_after.hpp
+++ b/src/protocol/retry_after.hpp
@@ -21,7 +21,8 @@
 /// A request that was refused for a cause for which nothing better is known: no configuration, no server, a
 /// server that declined, a connection beyond the limit.
 inline constexpr milliseconds kSidecarDefault{200};
-/// A request whose key can't be proven to be in force: proofs are asked for about this often.
+/// A request whose key can't be proven to be in force: while the proof is old, peers are asked for another
+/// each 200 ms.
 inline constexpr milliseconds kKeyUnproven{300};
 /// A client's request that the limit of root requests refuses: this, plus a random part of
 /// kRefusedEarlySpread, so that callers that were refused together don't come back together. Measured: the
