--- a/src/protocol/retry_after.hpp
+++ b/src/protocol/retry_after.hpp
@@ -21,13 +21,14 @@
 /// A request that was refused for a cause for which nothing better is known: no configuration, no server, a
 /// server that declined, a connection beyond the limit.
 inline constexpr milliseconds kSidecarDefault{200};
-/// A request whose key can't be proven to be in force: proofs are asked for about this often.
+/// A request whose key can't be proven to be in force: while the proof is old, peers are asked for another
+/// each 200 ms.
 inline constexpr milliseconds kKeyUnproven{300};
 /// A client's request that the limit of root requests refuses: this, plus a random part of
 /// kRefusedEarlySpread, so that callers that were refused together don't come back together. Measured: the
 /// worth of an overloaded day (circoli-mesh-now-grown, scale-2) was 0.672 so, and 0.647 with up to four times
-/// as much when more was refused (docs/design/shifted-work.md). Without the spread a day's worth differed by
-/// -0.011 to +0.003, which is within the noise (docs/measurements/tessellino.md).
+/// as much when more was refused (docs/design/tenants.md). Without the spread a day's worth differed by
+/// -0.011 to +0.003, which is within the noise (docs/design/overload.md).
 inline constexpr milliseconds kRefusedEarly{250};
 inline constexpr milliseconds kRefusedEarlySpread{500};
 /// A request of a tenant for which no owner of its quota answered: by then another owner has been found.
--- a/src/sidecar/overload_tracker.hpp
+++ b/src/sidecar/overload_tracker.hpp
@@ -51,8 +51,9 @@
                         const std::vector<overload::ServicePressure>& pressures);
     /// Time between two reports to near peers from now on.
     void set_period(Duration period) { limit_.period = period; }
-    std::vector<overload::LevelMove> end_period(TimePoint now, const overload::ServiceUse& uses) {
-        return overload::endPeriod(limit_, now, uses);
+    std::vector<overload::AdmittedShareMove> end_period(TimePoint now,
+                                                        const overload::Utilizations& utilizations) {
+        return overload::endPeriod(limit_, now, utilizations);
     }
     /// Waits until calls are refused after a calm time, here or at a peer, so that a report shouldn't wait;
     /// false if `latest` came first. Blocks the fiber; only one may wait.
