--- a/src/routing/call.cpp
+++ b/src/daemon/call.cpp
@@ -1,8 +1,8 @@
-#include "routing/call.hpp"
+#include "daemon/call.hpp"
 
 #include <utility>
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 
 net::HttpRequest forwarded_request(Call& call) {
     net::HttpRequest request;
@@ -19,4 +19,4 @@
     return request;
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/call.hpp
+++ b/src/daemon/call.hpp
@@ -12,14 +12,14 @@
 #include "protocol/time_types.hpp"
 #include "routing/route_table.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 
 /// A call being routed. The request and the signal belong to the connection that the call came over.
 struct Call {
     net::HttpRequest* request = nullptr;
     net::CancelSignal* cancel = nullptr;
     std::string service;
-    RouteDecision route;
+    routing::RouteDecision route;
     CallContext context;                ///< Of this call; its allowance is what is left now.
     std::optional<CallContext> parent;  ///< Of the call that made this one; nothing for a root request.
     std::uint64_t identity = 0;         ///< Digest of service, method, target, key and body.
@@ -71,4 +71,4 @@
     virtual CallResult route(Call& call) = 0;
 };
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -15,8 +15,6 @@
 using admission::SampleOutcome;
 using config::Mechanism;
 using observability::DecisionStep;
-using routing::Call;
-using routing::CallResult;
 
 constexpr seconds kHousekeepingPeriod{1};
 /// With learning off, as good as none.
@@ -247,7 +245,7 @@
 
 net::HttpRequest GateService::server_request(Call& call) const {
     const auto now = TimePoint::clock::now();
-    auto request = routing::forwarded_request(call);
+    auto request = forwarded_request(call);
     CallContext context = call.context;
     context.home = context_.self.id;
     request.fields.set(header::kContext, encode_call_context(context, context_.settings.daemon_mesh_key));
--- a/src/daemon/gate_service.hpp
+++ b/src/daemon/gate_service.hpp
@@ -8,13 +8,13 @@
 #include <unordered_map>
 
 #include "admission/server_gate.hpp"
+#include "daemon/call.hpp"
 #include "daemon/daemon_context.hpp"
 #include "daemon/membership_service.hpp"
 #include "net/fiber_event.hpp"
 #include "net/http_client.hpp"
 #include "retry/retry_ledger.hpp"
 #include "routing/backend_registry.hpp"
-#include "routing/call.hpp"
 
 namespace anisehold::daemon {
 
@@ -34,7 +34,7 @@
     /// Starts housekeeping.
     void start();
     /// Admits and runs a call at a server that this daemon is the gate of.
-    routing::CallResult dispatch(routing::Call& call, const Endpoint& server);
+    CallResult dispatch(Call& call, const Endpoint& server);
 
     retry::DrawReply handle(const retry::DrawRequest& request);
     /// Opens the ledger of a client's request, which may come again.
@@ -67,15 +67,12 @@
 
     std::shared_ptr<Gate> gate_for(const Endpoint& server, const routing::RouteDecision& route);
     std::unique_ptr<admission::ConcurrencyLimit> make_limit(unsigned ceiling) const;
-    std::optional<routing::CallResult> wait_for_admission(Gate& gate, const routing::Call& call,
-                                                          std::uint64_t id);
-    routing::CallResult run(const std::shared_ptr<Gate>& gate, routing::Call& call, const Endpoint& server,
-                            std::uint64_t id);
-    routing::CallResult answer_result(net::HttpResponse response, const routing::Call& call,
-                                      const std::shared_ptr<Admission>& admission);
-    routing::CallResult failure_result(const net::ExchangeProgress& progress, const routing::Call& call,
-                                       Admission& admission);
-    net::HttpRequest server_request(routing::Call& call) const;
+    std::optional<CallResult> wait_for_admission(Gate& gate, const Call& call, std::uint64_t id);
+    CallResult run(const std::shared_ptr<Gate>& gate, Call& call, const Endpoint& server, std::uint64_t id);
+    CallResult answer_result(net::HttpResponse response, const Call& call,
+                             const std::shared_ptr<Admission>& admission);
+    CallResult failure_result(const net::ExchangeProgress& progress, const Call& call, Admission& admission);
+    net::HttpRequest server_request(Call& call) const;
     void drop_unlisted_gates();
     void wake(Gate& gate, const std::vector<std::uint64_t>& ids);
 
--- a/src/routing/handles/claim_route.cpp
+++ b/src/daemon/handles/claim_route.cpp
@@ -1,8 +1,8 @@
-#include "routing/handles/claim_route.hpp"
+#include "daemon/handles/claim_route.hpp"
 
 #include "protocol/message_digest.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 namespace {
 
 using claims::ClaimEnd;
@@ -82,7 +82,7 @@
     return route_claimed(call, outcome);
 }
 
-CallResult ClaimRoute::route_claimed(Call& call, const daemon::ClaimOutcome& won) {
+CallResult ClaimRoute::route_claimed(Call& call, const ClaimOutcome& won) {
     call.context.dispatched_at_most_once = true;
     auto result = next_.route(call);
     if (result.response) {
@@ -100,7 +100,7 @@
     return result;
 }
 
-CallResult ClaimRoute::duplicate_result(const Call& call, const daemon::ClaimOutcome& outcome) {
+CallResult ClaimRoute::duplicate_result(const Call& call, const ClaimOutcome& outcome) {
     const auto& standing = outcome.standing;
     if (standing.fingerprint != call.identity) {
         return CallResult::failure(ErrorKind::kKeyConflict);
@@ -122,4 +122,4 @@
     return result;
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/handles/client_ledger_route.cpp
+++ b/src/daemon/handles/client_ledger_route.cpp
@@ -1,6 +1,6 @@
-#include "routing/handles/client_ledger_route.hpp"
+#include "daemon/handles/client_ledger_route.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 namespace {
 
 using retry::DrawVerdict;
@@ -47,4 +47,4 @@
     return result;
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/handles/early_refusal_route.cpp
+++ b/src/daemon/handles/early_refusal_route.cpp
@@ -1,6 +1,6 @@
-#include "routing/handles/early_refusal_route.hpp"
+#include "daemon/handles/early_refusal_route.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 namespace {
 
 constexpr milliseconds kRetryAfter{1'000};
@@ -18,4 +18,4 @@
     return result;
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/handles/early_refusal_route.hpp
+++ b/src/daemon/handles/early_refusal_route.hpp
@@ -3,21 +3,21 @@
 #pragma once
 
 #include "admission/adaptive_throttle.hpp"
+#include "daemon/call.hpp"
 #include "daemon/daemon_context.hpp"
-#include "routing/call.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 
 /// Refuses before any work is done for the request, so that none is wasted.
 class EarlyRefusalRoute final : public RouteHandle {
   public:
-    EarlyRefusalRoute(daemon::DaemonContext& context, RouteHandle& next) : context_(context), next_(next) {}
+    EarlyRefusalRoute(DaemonContext& context, RouteHandle& next) : context_(context), next_(next) {}
     CallResult route(Call& call) override;
 
   private:
-    daemon::DaemonContext& context_;
+    DaemonContext& context_;
     RouteHandle& next_;
     admission::AdaptiveThrottle throttle_;
 };
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/handles/ledger_route.cpp
+++ b/src/daemon/handles/ledger_route.cpp
@@ -1,10 +1,10 @@
-#include "routing/handles/ledger_route.hpp"
+#include "daemon/handles/ledger_route.hpp"
 
 #include <algorithm>
 
 #include "net/event_loop.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 namespace {
 
 using retry::DrawVerdict;
@@ -90,4 +90,4 @@
     }
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/handles/ledger_route.hpp
+++ b/src/daemon/handles/ledger_route.hpp
@@ -2,20 +2,20 @@
 /// Accounts for a nested call at the home ledger of the call that makes it.
 #pragma once
 
+#include "daemon/call.hpp"
 #include "daemon/daemon_context.hpp"
 #include "daemon/gate_service.hpp"
 #include "daemon/membership_service.hpp"
 #include "daemon/peer_client.hpp"
-#include "routing/call.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 
 /// Draws an allowance for the nested call and settles it afterwards. The ledger is this daemon's own where
 /// the calling server's gate and its nearest daemon are one; else one question to the peer that has it.
 class LedgerRoute final : public RouteHandle {
   public:
-    LedgerRoute(daemon::DaemonContext& context, daemon::PeerClient& peers,
-                daemon::MembershipService& membership, daemon::GateService& gates, RouteHandle& next)
+    LedgerRoute(DaemonContext& context, PeerClient& peers, MembershipService& membership, GateService& gates,
+                RouteHandle& next)
         : context_(context), peers_(peers), membership_(membership), gates_(gates), next_(next) {}
     CallResult route(Call& call) override;
 
@@ -23,11 +23,11 @@
     std::optional<retry::DrawReply> draw(const Call& call);
     void settle(const Call& call, const retry::SettleRequest& request);
 
-    daemon::DaemonContext& context_;
-    daemon::PeerClient& peers_;
-    daemon::MembershipService& membership_;
-    daemon::GateService& gates_;
+    DaemonContext& context_;
+    PeerClient& peers_;
+    MembershipService& membership_;
+    GateService& gates_;
     RouteHandle& next_;
 };
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/handles/retry_route.cpp
+++ b/src/daemon/handles/retry_route.cpp
@@ -1,9 +1,9 @@
-#include "routing/handles/retry_route.hpp"
+#include "daemon/handles/retry_route.hpp"
 
 #include <algorithm>
 #include <boost/fiber/operations.hpp>
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 namespace {
 
 constexpr milliseconds kBackoff{10};
@@ -65,4 +65,4 @@
     return !context_.has(config::Mechanism::kRetryEscrow) || budget_.try_retry(call.route.row.name);
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/handles/retry_route.hpp
+++ b/src/daemon/handles/retry_route.hpp
@@ -2,26 +2,26 @@
 /// Repeats failed attempts within the call's allowance and the row's budget.
 #pragma once
 
+#include "daemon/call.hpp"
 #include "daemon/daemon_context.hpp"
 #include "retry/retry_budget.hpp"
-#include "routing/call.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 
 /// Never repeats a call that may not be repeated, one that was refused for overload, or one whose body was
 /// streamed.
 class RetryRoute final : public RouteHandle {
   public:
-    RetryRoute(daemon::DaemonContext& context, RouteHandle& next) : context_(context), next_(next) {}
+    RetryRoute(DaemonContext& context, RouteHandle& next) : context_(context), next_(next) {}
     CallResult route(Call& call) override;
 
   private:
     bool may_retry(const Call& call, const CallResult& result);
     CallResult attempt(Call& call);
 
-    daemon::DaemonContext& context_;
+    DaemonContext& context_;
     RouteHandle& next_;
     retry::RetryBudget budget_;
 };
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/handles/server_route.cpp
+++ b/src/daemon/handles/server_route.cpp
@@ -1,11 +1,11 @@
-#include "routing/handles/server_route.hpp"
+#include "daemon/handles/server_route.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include "routing/balancer.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 namespace {
 
 constexpr int kMostServers = 3;
@@ -62,8 +62,8 @@
     auto result = CallResult::failure(ErrorKind::kNoBackend, kNoBackendRetryAfter);
     for (int attempt = 0; attempt < kMostServers; ++attempt) {
         const auto now = TimePoint::clock::now();
-        const auto chosen = choose_server(registry_.candidates(now, call.service, tried), context_.self.zone,
-                                          context_.random);
+        const auto chosen = routing::choose_server(registry_.candidates(now, call.service, tried),
+                                                   context_.self.zone, context_.random);
         if (!chosen) {
             return result;
         }
@@ -164,4 +164,4 @@
     return result;
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/handles/server_route.hpp
+++ b/src/daemon/handles/server_route.hpp
@@ -5,20 +5,20 @@
 #include <map>
 #include <memory>
 
+#include "daemon/call.hpp"
 #include "daemon/daemon_context.hpp"
 #include "daemon/gate_service.hpp"
 #include "daemon/membership_service.hpp"
 #include "net/http_client.hpp"
 #include "routing/backend_registry.hpp"
-#include "routing/call.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 
 /// Goes on to another server where it is known that the first ran nothing.
 class ServerRoute final : public RouteHandle {
   public:
-    ServerRoute(daemon::DaemonContext& context, daemon::MembershipService& membership,
-                BackendRegistry& registry, daemon::GateService& gates)
+    ServerRoute(DaemonContext& context, MembershipService& membership, routing::BackendRegistry& registry,
+                GateService& gates)
         : context_(context), membership_(membership), registry_(registry), gates_(gates) {}
     CallResult route(Call& call) override;
 
@@ -30,11 +30,11 @@
     CallResult remote_result(net::HttpResponse response, const Call& call, const Endpoint& server);
     net::HttpClient& client_for(const membership::MemberInfo& member);
 
-    daemon::DaemonContext& context_;
-    daemon::MembershipService& membership_;
-    BackendRegistry& registry_;
-    daemon::GateService& gates_;
+    DaemonContext& context_;
+    MembershipService& membership_;
+    routing::BackendRegistry& registry_;
+    GateService& gates_;
     std::map<Endpoint, std::unique_ptr<net::HttpClient>> clients_;
 };
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/daemon/ingress.cpp
+++ b/src/daemon/ingress.cpp
@@ -14,8 +14,6 @@
 using observability::DecisionStep;
 using observability::Event;
 using observability::log_event;
-using routing::Call;
-using routing::CallResult;
 
 constexpr milliseconds kDefaultRetryAfter{1'000};
 constexpr std::size_t kRootIdDigits = 32;
@@ -155,8 +153,7 @@
     if (call.context.depth > kMaxDepth) {
         return finish(call, CallResult::failure(ErrorKind::kTooDeep));
     }
-    routing::RouteHandle& route =
-        call.is_root() ? static_cast<routing::RouteHandle&>(root_route_) : nested_route_;
+    RouteHandle& route = call.is_root() ? static_cast<RouteHandle&>(root_route_) : nested_route_;
     auto result = route.route(call);
     const bool unclaimed =
         call.is_root() && !call.route.row.repeatable && !call.context.dispatched_at_most_once;
--- a/src/daemon/ingress.hpp
+++ b/src/daemon/ingress.hpp
@@ -4,21 +4,21 @@
 
 #include <memory>
 
+#include "daemon/call.hpp"
 #include "daemon/claim_service.hpp"
 #include "daemon/daemon_context.hpp"
 #include "daemon/document_service.hpp"
 #include "daemon/gate_service.hpp"
+#include "daemon/handles/claim_route.hpp"
+#include "daemon/handles/client_ledger_route.hpp"
+#include "daemon/handles/early_refusal_route.hpp"
+#include "daemon/handles/ledger_route.hpp"
+#include "daemon/handles/retry_route.hpp"
+#include "daemon/handles/server_route.hpp"
 #include "daemon/membership_service.hpp"
 #include "daemon/peer_client.hpp"
 #include "net/http_types.hpp"
 #include "routing/backend_registry.hpp"
-#include "routing/call.hpp"
-#include "routing/handles/claim_route.hpp"
-#include "routing/handles/client_ledger_route.hpp"
-#include "routing/handles/early_refusal_route.hpp"
-#include "routing/handles/ledger_route.hpp"
-#include "routing/handles/retry_route.hpp"
-#include "routing/handles/server_route.hpp"
 
 namespace anisehold::daemon {
 
@@ -36,10 +36,10 @@
   private:
     net::HttpResponse handle_call(net::HttpRequest& request, net::CancelSignal& cancel);
     net::HttpResponse handle_gate_request(net::HttpRequest& request, net::CancelSignal& cancel);
-    std::optional<ErrorKind> prepare(net::HttpRequest& request, routing::Call& call);
-    void set_contexts(const net::HttpRequest& request, routing::Call& call);
-    net::HttpResponse finish(const routing::Call& call, routing::CallResult result);
-    net::HttpResponse error_response(const routing::CallResult& result, const std::string& request_id);
+    std::optional<ErrorKind> prepare(net::HttpRequest& request, Call& call);
+    void set_contexts(const net::HttpRequest& request, Call& call);
+    net::HttpResponse finish(const Call& call, CallResult result);
+    net::HttpResponse error_response(const CallResult& result, const std::string& request_id);
     std::string random_hex(std::size_t digits);
 
     DaemonContext& context_;
@@ -49,12 +49,12 @@
 
     // Root request:  client ledger -> early refusal -> claim -> retry -> server.
     // Nested call:   ledger        ->                  claim -> retry -> server.
-    routing::ServerRoute server_route_;
-    routing::RetryRoute retry_route_;
-    routing::ClaimRoute claim_route_;
-    routing::LedgerRoute nested_route_;
-    routing::EarlyRefusalRoute early_refusal_route_;
-    routing::ClientLedgerRoute root_route_;
+    ServerRoute server_route_;
+    RetryRoute retry_route_;
+    ClaimRoute claim_route_;
+    LedgerRoute nested_route_;
+    EarlyRefusalRoute early_refusal_route_;
+    ClientLedgerRoute root_route_;
 };
 
 }  // namespace anisehold::daemon
--- a/src/protocol/peer_messages.hpp
+++ b/src/daemon/peer_messages.hpp
@@ -16,7 +16,7 @@
 #include "protocol/stored_answer.hpp"
 #include "retry/retry_ledger.hpp"
 
-namespace anisehold {
+namespace anisehold::daemon {
 
 /// Asks for all member records; brings the asker's own one.
 struct MembersRequest {
@@ -108,4 +108,4 @@
 std::optional<PeerRequest> decode_request(std::string_view bytes, std::string_view key);
 std::optional<PeerReply> decode_reply(std::string_view bytes, std::string_view key);
 
-}  // namespace anisehold
+}  // namespace anisehold::daemon
--- a/tests/unit/membership/swim_test.cpp
+++ b/tests/unit/membership/swim_test.cpp
@@ -6,7 +6,7 @@
 #include <queue>
 #include <set>
 
-#include "protocol/peer_messages.hpp"
+#include "daemon/peer_messages.hpp"
 
 using namespace anisehold;
 using namespace anisehold::membership;
@@ -115,7 +115,7 @@
         for (const auto& datagram : datagrams) {
             const std::size_t to = datagram.to.port - 10'000U;
             if (count_bytes_) {
-                bytes_ += encode(datagram.message, "0123456789abcdef").size();
+                bytes_ += daemon::encode(datagram.message, "0123456789abcdef").size();
             }
             const bool lost = std::uniform_real_distribution<double>(0, 1)(random_) < loss_;
             const bool separated = mark_ && mark_(from) != mark_(to);
