--- a/src/store/base64.hpp
+++ b/src/store/base64.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Base64 as of RFC 4648, which the store's JSON gateway uses for keys and values.
+/// Base64 as of RFC 4648, in which both stores' JSON has keys and values. Pure.
 #pragma once
 
 #include <optional>
--- a/src/store/coordination_store.hpp
+++ b/src/store/coordination_store.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// A store that daemons coordinate through: revisions, conditions and watches. An implementation
-/// makes calls and translates; it holds no retry and no decision.
+/// The store that sidecars coordinate through: revisions, conditions and watches. platform/store_client is
+/// the implementation; it makes calls and translates, without a retry or a decision. The table daemon's store
+/// is another one, store/key_value_store.
 #pragma once
 
 #include <cstdint>
@@ -32,7 +33,7 @@
     std::uint64_t revision = 0;  ///< Not used when it is to be written.
 };
 
-/// Most items of one write.
+/// Most items of one write, by the store's protocol.
 inline constexpr std::size_t kMostWritten = 32;
 
 struct ReadReply {
@@ -61,7 +62,7 @@
     std::uint64_t revision = 0;
 };
 
-/// How fresh the answer to a read must be.
+/// How old the answer to a read may be.
 enum class ReadMode {
     kLatest,      ///< All that was acknowledged before the call is seen.
     kMayBeStale,  ///< May be seconds old; costs a tenth and isn't counted towards the store's rate.
--- a/src/store/etcd_store.cpp
+++ b/src/store/etcd_store.cpp
@@ -12,10 +12,14 @@
 using nlohmann::json;
 
 constexpr unsigned kHttpOk = 200;
+constexpr unsigned kTooManyRequests = 429;
+constexpr unsigned kUnavailable = 503;
+/// Bytes that are read of a watch at a time. Chosen, not measured.
 constexpr std::size_t kWatchChunkBytes = 16 * 1024;
-/// Largest watch message or answer taken from the store.
+/// Largest watch message or answer taken from the store, in bytes. Chosen, not measured.
 constexpr std::size_t kLargestMessage = 8 * 1024 * 1024;
-/// A watch with no event for this long is ended, so that a silently broken one doesn't last.
+/// A watch with no event for this long is ended, so that a silently broken one doesn't last. Chosen, not
+/// measured.
 constexpr milliseconds kWatchSilence{15'000};
 
 std::error_code malformed() {
@@ -166,7 +170,8 @@
             error = std::make_error_code(whole ? std::errc::resource_unavailable_try_again
                                                : std::errc::bad_message);
         }
-        const bool refused = whole && (response->status == 429 || response->status == 503);
+        const bool refused =
+            whole && (response->status == kTooManyRequests || response->status == kUnavailable);
         maybe_received = maybe_received || (progress.request_started && !refused);
         preferred_ = (preferred_ + 1) % clients_.size();
         if (maybe_received && !repeatable) {
--- a/src/store/etcd_store.hpp
+++ b/src/store/etcd_store.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The key-value store over the etcd v3 JSON gateway.
+/// The key-value store over the etcd v3 JSON gateway. Owns a connection pool for each of the store's
+/// addresses; relies on store/base64 for keys and values.
 #pragma once
 
 #include <memory>
@@ -11,7 +12,8 @@
 
 namespace anisehold::store {
 
-/// Talks to one of several store addresses; goes on to the next when one fails.
+/// Talks to one of several store addresses; goes on to the next when one fails. A write that may have been
+/// received isn't sent again.
 class EtcdStore final : public KeyValueStore {
   public:
     EtcdStore(boost::asio::io_context& io, const std::vector<Endpoint>& servers, milliseconds timeout_ms);
@@ -24,7 +26,8 @@
                           const std::function<bool(const KeyValue&)>& on_change) override;
 
   private:
-    /// Sends a POST; `maybe_received` tells whether the store may have acted on it despite an error.
+    /// Sends a POST; sets `maybe_received` if the store may have acted on it despite an error. `repeatable`:
+    /// it may be sent again even then.
     std::optional<std::string> post(const std::string& path, const std::string& body, bool repeatable,
                                     bool& maybe_received, std::error_code& error);
 
--- a/src/store/key_value_store.hpp
+++ b/src/store/key_value_store.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The platform's key-value store, as far as this project uses it.
+/// The key-value store of the table daemon, as far as it is used: ranges, compare-and-swap and watches. The
+/// sidecar's store is another one, store/coordination_store.
 #pragma once
 
 #include <cstdint>
@@ -43,12 +44,13 @@
     std::error_code error;
 };
 
-/// The store behind its published protocol.
+/// The store behind its published protocol. Every call blocks its fiber.
 class KeyValueStore {
   public:
     virtual ~KeyValueStore() = default;
 
-    /// Keys from `first` up to, not including, `end`; only `first` if `end` is empty.
+    /// Keys from `first` up to, not including, `end`; only `first` if `end` is empty. Nothing, and the
+    /// reason, without a well-formed answer.
     virtual std::optional<RangeResult> range(const std::string& first, const std::string& end,
                                              std::error_code& error) = 0;
     /// Writes `puts` if `compared_key` was last changed at `revision` (0: doesn't exist).
--- a/src/store/machine_list.hpp
+++ b/src/store/machine_list.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// The platform's list of machines, in the JSON of Prometheus' HTTP service discovery.
+/// The table daemon's list of servers, in the JSON of Prometheus' HTTP service discovery. Owns the connection
+/// to it.
 #pragma once
 
-#include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
--- a/src/store/table_store.cpp
+++ b/src/store/table_store.cpp
@@ -22,10 +22,15 @@
 /// History entries are kept in a ring of keys, so that the store doesn't grow: at 1,400 changes a day, 1.4
 /// days.
 constexpr std::uint64_t kHistoryEntries = 2'000;
+/// Digits of an entry's number in its key; the stored keys have this form.
 constexpr std::size_t kHistoryKeyDigits = 6;
+/// Times that a change is written, each but the first onto a newer table. Chosen, not measured.
 constexpr int kMostRebases = 5;
-constexpr int kSettleTries = 20;
+/// Times that the store is asked whether a change took effect, and the pause between: ten seconds in all, or
+/// more while it is slow. Chosen, not measured.
+constexpr int kMostSettleReads = 20;
 constexpr milliseconds kSettlePause{500};
+/// Random bytes of a change id; it has two hex digits for each.
 constexpr std::size_t kChangeIdBytes = 8;
 
 std::string new_change_id() {
@@ -97,18 +102,18 @@
 /// Sets all cells of `row` in the current table to those of `wanted`, adding or removing the row as needed.
 void copy_row(const Table& wanted, const std::string& name, Table& current) {
     const auto* source = wanted.find(name);
-    const auto place = std::find_if(current.rows.begin(), current.rows.end(),
+    const auto found = std::find_if(current.rows.begin(), current.rows.end(),
                                     [&](const TableRow& row) { return row.name == name; });
     if (source == nullptr) {
-        if (place != current.rows.end()) {
-            current.rows.erase(place);
+        if (found != current.rows.end()) {
+            current.rows.erase(found);
         }
         return;
     }
-    if (place == current.rows.end()) {
+    if (found == current.rows.end()) {
         current.rows.push_back(*source);
     } else {
-        *place = *source;
+        *found = *source;
     }
 }
 
@@ -169,44 +174,10 @@
     StoredTable current = base;
     Table next = wanted;
     for (int attempt = 0; attempt < kMostRebases; ++attempt) {
-        result.errors = config::check_table(next);
-        if (!result.errors.empty()) {
-            result.outcome = AcceptOutcome::kBadTable;
+        if (const auto outcome = write_once(current, next, author, result)) {
+            result.outcome = *outcome;
             return result;
         }
-        result.changes = config::changed_cells(current.record.table, next);
-        if (result.changes.empty() && current.revision != 0) {
-            result.outcome = AcceptOutcome::kNothingToDo;
-            return result;
-        }
-        TableRecord record{current.record.sequence + 1, result.change_id, author, utc_now(), next};
-        const HistoryEntry entry{record.sequence, record.change_id, author, record.accepted_at,
-                                 result.changes};
-        const auto swap = store_.compare_and_swap(
-            kTableKey, current.revision,
-            {{kTableKey, config::to_json_text(record)}, {history_key(record.sequence), to_json_text(entry)}});
-        if (swap.outcome == SwapOutcome::kDone) {
-            result.outcome = AcceptOutcome::kAccepted;
-            result.revision = swap.revision;
-            return result;
-        }
-        if (swap.outcome == SwapOutcome::kRefused) {
-            result.outcome = AcceptOutcome::kUnreachable;
-            return result;
-        }
-        if (swap.outcome == SwapOutcome::kUnknown) {
-            bool answered = false;
-            const auto revision = settle(result.change_id, answered);
-            if (revision) {
-                result.outcome = AcceptOutcome::kAccepted;
-                result.revision = *revision;
-                return result;
-            }
-            if (!answered) {
-                result.outcome = AcceptOutcome::kUnknown;
-                return result;
-            }
-        }
         std::error_code error;
         auto latest = load(error);
         if (!latest) {
@@ -226,24 +197,50 @@
     return result;
 }
 
-std::optional<std::uint64_t> TableStore::settle(const std::string& change_id, bool& answered) {
-    for (int attempt = 0; attempt < kSettleTries; ++attempt) {
+std::optional<AcceptOutcome> TableStore::write_once(const StoredTable& current, const Table& next,
+                                                    const std::string& author, AcceptResult& result) {
+    result.errors = config::check_table(next);
+    if (!result.errors.empty()) {
+        return AcceptOutcome::kBadTable;
+    }
+    result.changes = config::changed_cells(current.record.table, next);
+    if (result.changes.empty() && current.revision != 0) {
+        return AcceptOutcome::kNothingToDo;
+    }
+    const TableRecord record{current.record.sequence + 1, result.change_id, author, utc_now(), next};
+    const HistoryEntry entry{record.sequence, record.change_id, author, record.accepted_at, result.changes};
+    const auto swap = store_.compare_and_swap(
+        kTableKey, current.revision,
+        {{kTableKey, config::to_json_text(record)}, {history_key(record.sequence), to_json_text(entry)}});
+    switch (swap.outcome) {
+        case SwapOutcome::kDone:
+            result.revision = swap.revision;
+            return AcceptOutcome::kAccepted;
+        case SwapOutcome::kRefused:
+            return AcceptOutcome::kUnreachable;
+        case SwapOutcome::kUnknown:
+            return settle(result);
+        case SwapOutcome::kLost:
+            break;
+    }
+    return std::nullopt;
+}
+
+std::optional<AcceptOutcome> TableStore::settle(AcceptResult& result) {
+    for (int attempt = 0; attempt < kMostSettleReads; ++attempt) {
         std::error_code error;
         const auto stored = load(error);
-        if (stored && stored->record.change_id == change_id) {
-            return stored->revision;
-        }
-        const auto entry = stored ? find_change(change_id, error) : std::nullopt;
-        if (entry) {
-            return stored->revision;
+        const bool in_force = stored && stored->record.change_id == result.change_id;
+        if (in_force || (stored && find_change(result.change_id, error))) {
+            result.revision = stored->revision;
+            return AcceptOutcome::kAccepted;
         }
         if (stored && !error) {
-            answered = true;
             return std::nullopt;
         }
         boost::this_fiber::sleep_for(kSettlePause);
     }
-    return std::nullopt;
+    return AcceptOutcome::kUnknown;
 }
 
 std::optional<std::vector<HistoryEntry>> TableStore::history(std::size_t limit, std::error_code& error) {
--- a/src/store/table_store.hpp
+++ b/src/store/table_store.hpp
@@ -1,5 +1,7 @@
 /// @file
 /// Reading and changing the operators' table in the store: the one path for the command line and the page.
+/// The table lies under one key, its history under a ring of keys. Owns nothing; relies on a store with
+/// compare-and-swap, which settles what happens when two operators change the table at once.
 #pragma once
 
 #include <optional>
@@ -30,7 +32,7 @@
     kAccepted,
     kNothingToDo,  ///< The store has this very table.
     kCollision,    ///< Another change was accepted meanwhile and touches the same cells.
-    kUnknown,      ///< No answer came and the store can't be asked; `outcome CHANGE-ID` will tell later.
+    kUnknown,      ///< No answer came and the store can't be asked; `outcome CHANGE-ID` answers later.
     kUnreachable,  ///< The store can't be reached; nothing was written.
     kBadTable,
 };
@@ -61,8 +63,13 @@
     std::optional<HistoryEntry> find_change(const std::string& change_id, std::error_code& error);
 
   private:
-    /// Whether the change took effect, asked until the store answers or patience ends.
-    std::optional<std::uint64_t> settle(const std::string& change_id, bool& answered);
+    /// Writes `next` in place of `current`. Nothing if another change came between; `result` gets all but the
+    /// outcome.
+    std::optional<AcceptOutcome> write_once(const StoredTable& current, const config::Table& next,
+                                            const std::string& author, AcceptResult& result);
+    /// After a write without an answer: asks the store until it answers whether the change took effect.
+    /// Nothing if it didn't; `kUnknown` if the store doesn't answer for some ten seconds.
+    std::optional<AcceptOutcome> settle(AcceptResult& result);
 
     KeyValueStore& store_;
 };
