--- a/src/daemon/handles/claim_route.hpp
+++ b/src/daemon/handles/claim_route.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Lets a non-repeatable request through at most once.
+/// Lets a non-repeatable request run at most once: the holders of its idempotency key must grant it first.
+/// Owns nothing; relies on the claim service.
 #pragma once
 
 #include "daemon/call.hpp"
@@ -8,8 +9,9 @@
 
 namespace anisehold::daemon {
 
-/// Claims the idempotency key before the call goes on, and tells the holders how it ended. Calls below one
-/// that was dispatched at most once need no claim of their own: their caller's ledger recognises a repeat.
+/// Claims the idempotency key before the call goes on, and sends the holders how it ended. Calls below one
+/// that was dispatched at most once need no claim of their own: their caller's ledger recognises a second
+/// attempt.
 class ClaimRoute final : public RouteHandle {
   public:
     ClaimRoute(DaemonContext& context, ClaimService& claims, RouteHandle& next)
--- a/src/daemon/handles/client_ledger_route.cpp
+++ b/src/daemon/handles/client_ledger_route.cpp
@@ -5,7 +5,7 @@
 
 using retry::DrawVerdict;
 
-/// How long a client's request is remembered for its retries to be known.
+/// How long a client's request is remembered for its retries to be known. Chosen, not measured.
 constexpr seconds kClientMemory{60};
 constexpr milliseconds kRetryAfter{1'000};
 
@@ -41,7 +41,8 @@
     settlement.identity = call.identity;
     settlement.loan_id = loan.loan_id;
     settlement.used = result.retries_used;
-    // A client that was refused and comes back as told makes its first attempt still.
+    // A client that was refused and comes back after the time that it was given makes its first attempt
+    // still.
     settlement.forget_attempt = !result.response && result.execution == Execution::kNotRun;
     gates_.handle(settlement);
     return result;
--- a/src/daemon/handles/client_ledger_route.hpp
+++ b/src/daemon/handles/client_ledger_route.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Accounts for a client's own retries of a root request.
+/// Accounts for a client's own retries of a root request. Owns nothing; relies on the gate service's ledgers.
 #pragma once
 
 #include "daemon/call.hpp"
--- a/src/daemon/handles/early_refusal_route.hpp
+++ b/src/daemon/handles/early_refusal_route.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Refuses new root requests of a row whose calls are being refused for overload further down.
+/// Refuses new root requests of a row whose calls are being refused for overload further down. Owns the row's
+/// counts; relies on admission/adaptive_throttle for the decision.
 #pragma once
 
 #include "admission/adaptive_throttle.hpp"
--- a/src/daemon/handles/ledger_route.cpp
+++ b/src/daemon/handles/ledger_route.cpp
@@ -2,13 +2,12 @@
 
 #include <algorithm>
 
-#include "net/event_loop.hpp"
-
 namespace anisehold::daemon {
 namespace {
 
 using retry::DrawVerdict;
 
+/// How long the daemon with the home ledger is waited for. Chosen, not measured.
 constexpr milliseconds kPeerTimeout{500};
 constexpr milliseconds kRetryAfter{1'000};
 
--- a/src/daemon/handles/ledger_route.hpp
+++ b/src/daemon/handles/ledger_route.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// Accounts for a nested call at the home ledger of the call that makes it.
+/// Accounts for a nested call at the home ledger of the call that makes it: the retries of all layers
+/// together stay within the root request's allowance. Owns nothing; relies on retry/retry_ledger for the
+/// decision.
 #pragma once
 
 #include "daemon/call.hpp"
--- a/src/daemon/handles/retry_route.cpp
+++ b/src/daemon/handles/retry_route.cpp
@@ -6,8 +6,9 @@
 namespace anisehold::daemon {
 namespace {
 
+/// Mean pause before a retry; jittered by half. Chosen, not measured.
 constexpr milliseconds kBackoff{10};
-/// While retries are left, an attempt may take this share of the remaining time.
+/// While retries are left, an attempt may take this share of the remaining time. Chosen, not measured.
 constexpr double kAttemptShare = 0.6;
 
 bool is_gateway_failure(unsigned status) {
--- a/src/daemon/handles/retry_route.hpp
+++ b/src/daemon/handles/retry_route.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Repeats failed attempts within the call's allowance and the row's budget.
+/// Sends failed attempts again within the call's allowance and the row's budget. Owns the budget; relies on
+/// the ledgers for the allowance.
 #pragma once
 
 #include "daemon/call.hpp"
@@ -8,7 +9,7 @@
 
 namespace anisehold::daemon {
 
-/// Never repeats a call that may not be repeated, one that was refused for overload, or one whose body was
+/// Never retries a call of a non-repeatable row, one that was refused for overload, or one whose body was
 /// streamed.
 class RetryRoute final : public RouteHandle {
   public:
--- a/src/daemon/handles/server_route.cpp
+++ b/src/daemon/handles/server_route.cpp
@@ -8,10 +8,11 @@
 namespace anisehold::daemon {
 namespace {
 
+/// Most servers that one attempt is sent to. Chosen, not measured.
 constexpr int kMostServers = 3;
 constexpr milliseconds kNoBackendRetryAfter{1'000};
 
-/// Whether it is known that nothing ran, so that another server may be tried at no risk.
+/// Whether it is known that nothing ran, so that the call may go to another server.
 bool may_go_elsewhere(const CallResult& result) {
     if (result.response || result.execution != Execution::kNotRun) {
         return false;
@@ -102,9 +103,6 @@
 
 CallResult ServerRoute::ask_remote_gate(Call& call, const Endpoint& server,
                                         const membership::MemberInfo& gate) {
-    if (context_.peer_faults.cut.contains(gate.peer)) {
-        return CallResult::failure(ErrorKind::kConnectFailed, kNoBackendRetryAfter);
-    }
     auto request = gate_request(call, server, context_.settings.daemon_mesh_key);
     net::ExchangeProgress progress;
     std::error_code error;
--- a/src/daemon/handles/server_route.hpp
+++ b/src/daemon/handles/server_route.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Picks a server for a call and passes the call to the server's gate, here or at another daemon.
+/// Picks a server for a call and passes the call to the server's gate, here or at another daemon. Owns the
+/// connections to other daemons; relies on the registry and the balancer for the choice.
 #pragma once
 
 #include <map>
--- a/src/discovery/registration_ages.hpp
+++ b/src/discovery/registration_ages.hpp
@@ -2,7 +2,8 @@
 
     Registrations have no lease, so that none lapses while the store is away. Every daemon writes its own
    again now and then; one that stays unchanged for long belongs to a machine that is gone. Ages are counted
-   by this process's own clock from when it first saw a revision. Pure.
+   by this process's own clock from when it first saw a revision. Owns what was seen; the sidecar lists and
+   removes. Pure.
 */
 #pragma once
 
@@ -35,7 +36,7 @@
     std::map<std::string, Seen> seen;
 };
 
-/** How often a daemon writes its registration again. */
+/** How often a daemon writes its registration again. Chosen, not measured. */
 inline constexpr seconds registrationPeriod{ 300 };
 /** A registration that missed three writings, and the spread of a period, belongs to nobody. */
 inline constexpr seconds registrationLifetime{ 4 * registrationPeriod };
--- a/src/discovery/watch_role.cpp
+++ b/src/discovery/watch_role.cpp
@@ -12,11 +12,12 @@
 /** Any constant will do, as long as all daemons of a fleet use the same one. */
 constexpr const char* rankingKey = "configuration-watch";
 /** Least time without a working watch before a daemon stands in: a watch that was cut is open again sooner.
- */
+    Chosen, not measured. */
 constexpr milliseconds leastPatience{ 2'000 };
-/** Share of the spread per known peer: the fleet makes at most 25 such tries a second. */
+/** Share of the spread per known peer: the fleet makes at most 25 such attempts a second.
+    Chosen, not measured. */
 constexpr milliseconds spreadPerPeer{ 40 };
-/** A fleet of any size finds a stand-in within this time. */
+/** A fleet of any size finds a stand-in within this time. Chosen, not measured. */
 constexpr milliseconds longestSpread{ 10'000 };
 
 Duration drawPatience (std::size_t knownPeers, const UnitRandom& random)
--- a/src/discovery/watch_role.hpp
+++ b/src/discovery/watch_role.hpp
@@ -3,8 +3,9 @@
     A call to the store is dear and its rate is shared by the fleet, so a few daemons of each zone watch, and
     the others, of all zones, get a new configuration from those. The watchers are appointed without a
    message: every daemon ranks the reachable members of its own zone by rendezvous hash. A daemon that hears
-   of no working watch in its zone watches in their stead, after a time drawn at random, so that a fleet whose
-   watchers are all killed or turned away finds another one without calling all at once. Pure.
+   of no working watch in its zone stands in, after a time drawn at random, so that a fleet whose
+   watchers are all killed or refused finds another one without calling all at once. Owns the role of one
+   daemon; relies on the directory of peers for who is reachable and who watches. Pure.
 */
 #pragma once
 
@@ -45,11 +46,11 @@
 struct WatchState
 {
     WatchRole role = WatchRole::none;
-    TimePoint lastPeerWatch; /**< When a peer last had a working watch, or a stand-in's try ended. */
+    TimePoint lastPeerWatch; /**< When a peer last had a working watch, or a stand-in's attempt failed. */
     Duration patience{};     /**< How long after that this daemon stands in; 0 until it is drawn. */
 };
 
-/** Watchers in each zone: one may be gone without its zone noticing. */
+/** Watchers in each zone: one may be gone without its zone noticing. Chosen, not measured. */
 inline constexpr std::size_t watchersPerZone = 2;
 
 /** Whether the daemon is one of its zone's watchers. */
@@ -58,7 +59,7 @@
 /** Reviews the role. A stand-in goes on until a peer has a working watch. */
 WatchRole reviewRole (WatchState&, TimePoint now, const WatchView&, const UnitRandom&);
 
-/** The store didn't serve a stand-in: it waits again before its next try. */
+/** The store didn't serve a stand-in: it waits again before its next attempt. */
 void noteFailedTry (WatchState&, TimePoint now);
 
 } // namespace anisehold::discovery
--- a/src/registration/refusal_limit.hpp
+++ b/src/registration/refusal_limit.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// How often refused heartbeats are logged.
+/// How often refused heartbeats are logged: once in a while for each writer, so that a writer that goes on
+/// sending them doesn't fill the log. Owns when each was last logged; the sidecar logs.
 #pragma once
 
 #include <map>
@@ -9,21 +10,21 @@
 
 namespace anisehold::registration {
 
-/// A writer that sends nothing but refused heartbeats is told of once in this time.
+/// A writer that sends nothing but refused heartbeats is logged once in this time. Chosen, not measured.
 inline constexpr seconds kRefusalPeriod{60};
-/// Writers that are told apart; further ones aren't told of, so that names made up at random cost neither
-/// memory nor log lines.
+/// Most writers that are logged in that time; further ones aren't, so that names made up at random cost
+/// neither memory nor log lines. Chosen, not measured.
 inline constexpr std::size_t kMostRefusedWriters = 64;
 
-/// When each writer was last told of. Pure.
+/// When each writer was last logged. Pure.
 struct RefusalLimit {
-    std::map<std::string, TimePoint> told;
+    std::map<std::string, TimePoint> logged;
 };
 
-/// Whether a refused heartbeat of `writer` is to be logged now; if so, it counts as told.
+/// Whether a refused heartbeat of `writer` is to be logged now; if so, it counts as logged.
 inline bool take_refusal(RefusalLimit& limit, TimePoint now, const std::string& writer) {
-    std::erase_if(limit.told, [&](const auto& entry) { return now - entry.second >= kRefusalPeriod; });
-    return limit.told.size() < kMostRefusedWriters && limit.told.emplace(writer, now).second;
+    std::erase_if(limit.logged, [&](const auto& entry) { return now - entry.second >= kRefusalPeriod; });
+    return limit.logged.size() < kMostRefusedWriters && limit.logged.emplace(writer, now).second;
 }
 
 }  // namespace anisehold::registration
--- a/src/registration/server_registry.cpp
+++ b/src/registration/server_registry.cpp
@@ -5,10 +5,12 @@
 namespace anisehold::registration {
 namespace {
 
-/// How long an instance that left is remembered, so that a late heartbeat doesn't bring it back.
+/// How long an instance that left is remembered, so that a late heartbeat doesn't bring it back. Chosen, not
+/// measured.
 constexpr seconds kLeftRemembered{600};
 /// A server that was displaced from its address and goes on to say that it is there, so many times, is: the
-/// entry that displaced it was another writer's. One or two may have been on their way when it ended.
+/// entry that displaced it was another writer's. One or two may have been on their way when it ended. Chosen,
+/// not measured.
 constexpr unsigned kHeartbeatsOfLiving = 3;
 
 }  // namespace
@@ -31,7 +33,7 @@
 
 RegistryChange ServerRegistry::take_new_start(TimePoint now, const Heartbeat& heartbeat) {
     left_.erase(heartbeat.instance);
-    // A server with another's address has taken its place.
+    // A server with another's address has replaced it.
     for (auto each = servers_.begin(); each != servers_.end();) {
         if (each->second.heartbeat.address == heartbeat.address && each->first != heartbeat.instance) {
             const auto& displaced = each->second.heartbeat;
@@ -54,13 +56,13 @@
         return take_new_start(now, heartbeat);
     }
     const Heartbeat before = found->second.heartbeat;
-    const bool tells_start = heartbeat.born != ServerStart() && before.born != ServerStart();
-    if (tells_start && before.born != heartbeat.born) {
+    const bool gives_start = heartbeat.born != ServerStart() && before.born != ServerStart();
+    if (gives_start && before.born != heartbeat.born) {
         return before.born < heartbeat.born ? take_new_start(now, heartbeat) : RegistryChange::kNone;
     }
     const bool is_late = heartbeat.sequence <= before.sequence;
     // A start serves one service: an entry that says otherwise is another writer's.
-    const bool is_foreign = tells_start && before.service != heartbeat.service;
+    const bool is_foreign = gives_start && before.service != heartbeat.service;
     if (!found->second.is_found && (is_late || is_foreign)) {
         return RegistryChange::kNone;
     }
--- a/src/registration/server_registry.hpp
+++ b/src/registration/server_registry.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// The servers that register at this daemon by heartbeat.
+/// The servers that register at this sidecar by heartbeat. Owns the newest state of each, and what is
+/// remembered of those that left; relies on the sidecar for time and for the messages, which platform/
+/// decodes.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +15,21 @@
 
 namespace anisehold::registration {
 
-/// Tells two starts of a server under one instance name apart: the later one has the greater number. The Unix
-/// time of the start, in milliseconds; 0 if the server doesn't tell it.
+/// Which start of a server under one instance name it is: the later one has the greater number. The Unix time
+/// of the start, in milliseconds; 0 if the server doesn't send it.
 using ServerStart = Strong<struct ServerStartTag, std::uint64_t>;
 
-/// What a server says of itself in each heartbeat.
+/// What a server sends of itself in each heartbeat.
 struct Heartbeat {
     std::string instance;  ///< A server that ended may come back under the same one.
     ServerStart born;
     std::string service;
     Endpoint address;
     std::string zone;
-    unsigned slots = 1;          ///< Requests that it works on at the same time.
-    bool draining = false;       ///< It ends soon and takes no new requests.
-    std::uint64_t sequence = 0;  ///< Rises with each heartbeat, so that a late one is known.
-    milliseconds cold_remaining{0};
+    unsigned slots = 1;              ///< Requests that it works on at the same time.
+    bool draining = false;           ///< It ends soon and takes no new requests.
+    std::uint64_t sequence = 0;      ///< Rises with each heartbeat, so that a late one is known.
+    milliseconds cold_remaining{0};  ///< How much longer it is slow from its start.
 };
 
 /// What a heartbeat or a leave changed.
@@ -56,7 +58,7 @@
     /// A server that said it was well when it was asked. Changes nothing if anything is known of the
     /// instance, or of its address.
     RegistryChange on_found(TimePoint now, const Heartbeat& found);
-    /// `born`: of the start that leaves; none told means the one that is known.
+    /// `born`: of the start that leaves; 0 means the one that is known.
     RegistryChange on_leave(TimePoint now, const std::string& instance, ServerStart born = {});
     /// The server has crashed: nothing is known of it until it registers again. False if nothing was.
     bool on_crash(const std::string& instance) { return servers_.erase(instance) > 0; }
--- a/src/routing/backend_registry.cpp
+++ b/src/routing/backend_registry.cpp
@@ -5,15 +5,24 @@
 namespace anisehold::routing {
 namespace {
 
+// All chosen, not measured.
+
+/// Failures in a row after which a server gets no requests for a while.
 constexpr unsigned kFailuresToEject = 5;
+/// The first such time; it doubles with each further one up to the longest.
 constexpr seconds kFirstEjection{1};
 constexpr seconds kLongestEjection{30};
 constexpr unsigned kMaxEjectionDoublings = 5;
 /// A report older than this says nothing about the present load.
 constexpr milliseconds kReportHolds{200};
+/// Limit of a server whose gate hasn't reported one.
+constexpr double kAssumedLimit = 8.0;
 /// A server that joins a running fleet gets its full share only after this time.
 constexpr seconds kSlowStart{5};
+/// What its load seems higher by when it has just joined, and the least share of the time that its load is
+/// divided by.
 constexpr double kColdLoadPenalty = 0.5;
+constexpr double kLeastWarmth = 0.1;
 
 }  // namespace
 
@@ -118,14 +127,13 @@
 
 double BackendRegistry::load_of(TimePoint now, const Server& server) const {
     const bool fresh = server.reported.limit > 0 && now - server.reported_at <= kReportHolds;
-    constexpr double assumed_limit = 8.0;
-    const double limit = server.reported.limit > 0 ? server.reported.limit : assumed_limit;
+    const double limit = server.reported.limit > 0 ? server.reported.limit : kAssumedLimit;
     const unsigned reported = fresh ? server.reported.in_flight + server.reported.queued : 0;
     double load = std::max<double>(server.outstanding, reported) / limit;
     const auto age = now - server.first_seen;
     if (age < kSlowStart) {
         const double warmth = std::chrono::duration<double>(age) / std::chrono::duration<double>(kSlowStart);
-        load = load / std::max(0.1, warmth) + kColdLoadPenalty * (1.0 - warmth);
+        load = load / std::max(kLeastWarmth, warmth) + kColdLoadPenalty * (1.0 - warmth);
     }
     return load;
 }
--- a/src/routing/backend_registry.hpp
+++ b/src/routing/backend_registry.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What is known about back-end servers: listed state, observed failures, load reported by gates.
+/// What a table daemon knows about servers: listed state, observed failures, load reported by gates. Owns
+/// these; relies on the machine list for which servers there are. It decides which of them may get new work.
 #pragma once
 
 #include <map>
@@ -52,8 +53,9 @@
     bool is_leaving(TimePoint now, const Endpoint& server) const;
     bool is_ejected(TimePoint now, const Endpoint& server) const;
 
-    /// What a server said of itself holds for this long unless repeated. The list, which lags, has named the
-    /// server by then; a health endpoint that says otherwise is not believed.
+    /// How long a server that said it was leaving counts as leaving, unless it says so again: the list, which
+    /// lags, has named it by then. A health endpoint that says otherwise is not believed. Chosen, not
+    /// measured.
     static constexpr seconds kLeavingHolds{60};
 
   private:
--- a/src/routing/balancer.cpp
+++ b/src/routing/balancer.cpp
@@ -3,9 +3,9 @@
 namespace anisehold::routing {
 namespace {
 
-/// Load from which on calls would wait in the own zone.
+/// Load, as a multiple of the limit, from which on calls would wait in the own zone.
 constexpr double kFullLoad = 1.0;
-/// Another zone must be less loaded by this much to be worth the way.
+/// Another zone must be less loaded by this much to be worth the longer way. Chosen, not measured.
 constexpr double kSpillAdvantage = 0.25;
 
 std::optional<Candidate> less_loaded_of_two(const std::vector<Candidate>& candidates,
--- a/src/routing/balancer.hpp
+++ b/src/routing/balancer.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Picks a server among candidates.
+/// The table daemon's choice of a server among candidates. Pure; relies on the registry for candidates and
+/// their load.
 #pragma once
 
-#include <cstddef>
 #include <optional>
 #include <random>
 #include <string>
@@ -13,7 +13,8 @@
 namespace anisehold::routing {
 
 /// Power of two choices on load (Mitzenmacher, 2001), own zone first: calls spill to other zones when the
-/// choice in the own zone has no free place and another zone's is clearly less loaded.
+/// choice in the own zone has no free slot and another zone's is clearly less loaded. Nothing without
+/// candidates.
 std::optional<Candidate> choose_server(const std::vector<Candidate>& candidates, const std::string& own_zone,
                                        std::mt19937_64& random);
 
--- a/src/routing/configuration.cpp
+++ b/src/routing/configuration.cpp
@@ -19,10 +19,10 @@
 }  // namespace
 
 void Configuration::index_routes() {
-    places_.clear();
-    for (std::size_t place = 0; place < routes.size(); ++place) {
-        // Of two routes at the same place the first one counts.
-        places_.emplace(index_key(routes[place].host, routes[place].path_prefix), place);
+    index_.clear();
+    for (std::size_t position = 0; position < routes.size(); ++position) {
+        // Of two routes with the same host and prefix the first one counts.
+        index_.emplace(index_key(routes[position].host, routes[position].path_prefix), position);
     }
 }
 
@@ -31,8 +31,8 @@
     // Prefixes end at a slash: the longest one is tried first.
     for (auto end = key.rfind('/'); end != std::string::npos && end > host.size();) {
         key.resize(end + 1);
-        const auto found = places_.find(key);
-        if (found != places_.end()) {
+        const auto found = index_.find(key);
+        if (found != index_.end()) {
             return &routes[found->second];
         }
         end = key.rfind('/', end - 1);
--- a/src/routing/configuration.hpp
+++ b/src/routing/configuration.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The operators' routing configuration: routes by host and path, services, and what clients may send.
+/// The operators' routing configuration of the sidecar: routes by host and path, services, and what clients
+/// may send. Plain values; platform/documents makes them from the store's documents.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +15,11 @@
 
 namespace anisehold::routing {
 
-/// What may be repeated.
+/// Whether a request may run more than once.
 enum class RetryRule {
     kRetryable,    ///< May run more than once.
     kAtMostOnce,   ///< Each client attempt runs at most once.
-    kLargeAnswer,  ///< Repeatable, with a large answer.
+    kLargeAnswer,  ///< May run more than once; has a large answer.
 };
 
 /// Whether a request under this rule may run more than once.
@@ -40,7 +41,7 @@
     std::string host;
     std::string path_prefix;  ///< Begins and ends with a slash.
     RetryRule retry = RetryRule::kAtMostOnce;
-    milliseconds timeout{0};         ///< Longest time a request is held.
+    milliseconds timeout{0};         ///< Longest time from a request to its answer.
     milliseconds target_latency{0};  ///< Time within which an answer is worth most.
     unsigned priority = 0;           ///< 0 is the most important.
     unsigned most_servers = 1;       ///< Most servers that one client attempt is sent to.
@@ -80,7 +81,7 @@
     const HostRoute* find(std::string_view host, std::string_view path) const;
 
   private:
-    std::unordered_map<std::string, std::size_t> places_;  ///< In `routes`, by host and prefix.
+    std::unordered_map<std::string, std::size_t> index_;  ///< Position in `routes`, by host and prefix.
 };
 
 /// The path of a request target, without its query.
--- a/src/routing/rendezvous.hpp
+++ b/src/routing/rendezvous.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Rendezvous (highest random weight) hashing.
+/// Rendezvous (highest random weight) hashing: all daemons choose the same candidate for a key without a
+/// message, and a candidate that goes moves only its own keys. Pure. All daemons of a fleet must score alike.
 #pragma once
 
 #include <cstdint>
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -1,8 +1,7 @@
 /// @file
-/// Finds the table row that applies to a call.
+/// Finds the table row that applies to a call of the table daemon. Owns one revision of the table.
 #pragma once
 
-#include <memory>
 #include <string>
 #include <string_view>
 
--- a/src/routing/weighted_split.hpp
+++ b/src/routing/weighted_split.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Division of a route's requests among services by weight.
+/// Division of a route's requests among services by weight, in the sidecar. Owns the position in each route's
+/// cycle; relies on the configuration for the weights.
 #pragma once
 
 #include <map>
