--- a/src/claims/claim_holder.hpp
+++ b/src/claims/claim_holder.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// One holder's part in making a non-repeatable request run at most once.
+/// One holder's part in making a non-repeatable request run at most once. Owns the grants that it made or
+/// took over; relies on the holder view for its keys, and on the claimants' own random numbers to tell them
+/// apart.
 #pragma once
 
 #include <map>
@@ -40,6 +42,8 @@
     ClaimSyncReply handle(TimePoint now, const ClaimSyncRequest& request);
 
     bool serving() const { return serving_; }
+    /// Whether it grants claims under this epoch.
+    bool serves(std::uint64_t epoch) const { return serving_ && view_.epoch == epoch; }
     const HolderView& view() const { return view_; }
     std::size_t size() const { return claims_.size(); }
 
--- a/src/claims/claim_types.hpp
+++ b/src/claims/claim_types.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Messages and values of the claims that make a non-repeatable request run at most once.
+/// Messages and values of the claims that make a non-repeatable request run at most once: it runs only when
+/// more than half of the holders of its key have granted it to this attempt.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +20,12 @@
 
 /// A request for one key by one attempt to run it.
 struct ClaimRequest {
-    std::uint64_t epoch = 0;        ///< Of the holder view that the claimant uses.
-    std::string key;                ///< Digest of service, method, path and idempotency key.
-    std::uint64_t claimant = 0;     ///< Random; identifies this attempt. Never reused.
-    std::uint64_t fingerprint = 0;  ///< Digest of the request; a repeated key must bring the same.
-    std::string coordinator;        ///< Member id of the claimant's daemon.
+    std::uint64_t epoch = 0;     ///< Of the holder view that the claimant uses.
+    std::string key;             ///< Digest of service, method, path and idempotency key.
+    std::uint64_t claimant = 0;  ///< Random; identifies this attempt. Never reused.
+    std::uint64_t fingerprint =
+        0;  ///< Digest of the request; a later request with the same key must have the same.
+    std::string coordinator;  ///< Member id of the claimant's daemon.
     std::uint64_t coordinator_boot = 0;
 
     template <typename Archive>
@@ -32,6 +34,7 @@
     }
 };
 
+/// A holder's decision on a claim.
 enum class ClaimVerdict : std::uint8_t {
     kGranted,
     kDenied,   ///< Granted to another claimant before.
@@ -52,7 +55,7 @@
     }
 };
 
-/// What a claimant tells the holders at the end.
+/// What a claimant sends the holders at the end.
 enum class ClaimEnd : std::uint8_t {
     kCompleted,
     kUnknown,
--- a/src/claims/holder_view.hpp
+++ b/src/claims/holder_view.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The agreed view of which daemons hold claims, and which three of them hold a given key.
+/// The agreed view of which daemons hold claims, and which three of them hold a given key. It lies in the
+/// store as JSON. Pure functions over plain structs.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +26,7 @@
     std::vector<Holder> previous;  ///< Holders under `epoch - 1`; empty only for the first view ever.
 };
 
-/// Holders per key.
+/// Holders per key: one may fail and the other two still decide.
 inline constexpr std::size_t kHoldersPerKey = 3;
 
 /// Smallest number that is more than half of `holders`.
@@ -40,7 +41,7 @@
 /// `holders`: every majority of every key's holders includes one that is not missing.
 bool covers_all_grants(const std::vector<Holder>& holders, const std::vector<Holder>& missing);
 
-/// The holders that a fleet should have: up to `per_zone` of each zone, keeping those that are there.
+/// The holders that a fleet should have: up to `per_zone` of each zone, keeping those that are there already.
 std::vector<Holder> choose_holders(const std::vector<Holder>& current, const std::vector<Holder>& working,
                                    std::size_t per_zone);
 
--- a/src/daemon/admin_server.hpp
+++ b/src/daemon/admin_server.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// The admin port: metrics, status, health, events, decisions, and the table.
+/// The admin port: metrics, status, health, events, decisions, and the table. Owns its listener; relies on
+/// all parts of the daemon for what it shows. Anybody who reaches the port may read; a changed table needs
+/// the operator token.
 #pragma once
 
 #include "daemon/claim_service.hpp"
@@ -8,6 +10,8 @@
 #include "daemon/gate_service.hpp"
 #include "daemon/membership_service.hpp"
 #include "daemon/peer_client.hpp"
+#include "daemon/status_page.hpp"
+#include "daemon/table_admin.hpp"
 #include "net/http_server.hpp"
 #include "routing/backend_registry.hpp"
 
@@ -17,29 +21,20 @@
 class AdminServer {
   public:
     AdminServer(DaemonContext& context, PeerClient& peers, MembershipService& membership,
-                DocumentService& documents, ClaimService& claims, GateService& gates,
-                routing::BackendRegistry& registry);
+                DocumentService& documents, const ClaimService& claims, const GateService& gates,
+                const routing::BackendRegistry& registry);
     std::error_code start();
     /// Shown by /healthz and /status from now on.
     void set_stopping() { stopping_ = true; }
 
   private:
     net::HttpResponse handle(net::HttpRequest& request);
-    net::HttpResponse set_peer_faults(const net::HttpRequest& request);
-    net::HttpResponse status() const;
     net::HttpResponse explain(std::string_view target) const;
     net::HttpResponse events() const;
-    net::HttpResponse table() const;
-    net::HttpResponse table_by_zone();
-    net::HttpResponse accept_table(const net::HttpRequest& request);
 
     DaemonContext& context_;
-    PeerClient& peers_;
-    MembershipService& membership_;
-    DocumentService& documents_;
-    ClaimService& claims_;
-    GateService& gates_;
-    routing::BackendRegistry& registry_;
+    StatusSources sources_;
+    TableAdmin table_;
     net::HttpServer server_;
     bool stopping_ = false;
 };
--- a/src/daemon/answer_store.hpp
+++ b/src/daemon/answer_store.hpp
@@ -12,15 +12,16 @@
 
 namespace anisehold::daemon {
 
-/// Bounded by bytes and by age; the oldest answers go first.
+/// Bounded by bytes and by age; the oldest answers go first. Pure.
 class AnswerStore {
   public:
+    /// Largest answer that is kept, with its key, and most bytes of all. Chosen, not measured.
     static constexpr std::size_t kLargestAnswerBytes = 16 * 1024;
     static constexpr std::size_t kMostBytes = 32 * 1024 * 1024;
 
     explicit AnswerStore(Duration window) : window_(window) {}
 
-    /// Keeps an answer; too large a one is not kept.
+    /// Keeps an answer; too large a one is not kept, nor a second one of a key.
     void keep(TimePoint now, const std::string& key, StoredAnswer answer);
     std::optional<StoredAnswer> find(const std::string& key) const;
     std::size_t bytes() const { return bytes_; }
--- a/src/daemon/backend_watch.cpp
+++ b/src/daemon/backend_watch.cpp
@@ -12,8 +12,11 @@
 using observability::Event;
 using observability::log_event;
 
+/// How long the machine list is waited for. Chosen, not measured.
 constexpr milliseconds kListTimeout{2'000};
+/// How long a server's health endpoint is waited for. Chosen, not measured.
 constexpr milliseconds kHealthTimeout{500};
+/// What a leaving server answers there: this status, and a body with this word.
 constexpr unsigned kServiceUnavailable = 503;
 constexpr std::string_view kDraining = "draining";
 
--- a/src/daemon/backend_watch.hpp
+++ b/src/daemon/backend_watch.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Keeps the registry of back ends up to date from the machine list and the servers' health endpoints.
+/// Keeps the registry of servers up to date from the machine list and the servers' health endpoints. Owns the
+/// connections to both; a probe that fails changes nothing, only an answer that the server is draining does.
 #pragma once
 
 #include <map>
--- a/src/daemon/call.hpp
+++ b/src/daemon/call.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// One call on its way through the daemon, and what became of it.
+/// One call on its way through the table daemon, and what became of it. A call is a root request or a nested
+/// call; the handles in daemon/handles each do their part for it and pass it on.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +31,7 @@
     bool is_root() const { return !parent.has_value(); }
 };
 
-/// What became of a call: a back end's answer, or one of our error kinds.
+/// What became of a call: a server's answer, or one of our error kinds.
 struct CallResult {
     std::optional<net::HttpResponse> response;
     ErrorKind error = ErrorKind::kBackendFailed;   ///< When there is no response.
@@ -43,7 +44,7 @@
 
     bool refused_by_overload() const { return !overloaded_service.empty(); }
 
-    /// A result without a back end's answer; what is known of its execution follows from the kind.
+    /// A result without a server's answer; what is known of its execution follows from the kind.
     static CallResult failure(ErrorKind kind, Duration retry_after = {}) {
         CallResult result;
         result.error = kind;
--- a/src/daemon/claim_service.cpp
+++ b/src/daemon/claim_service.cpp
@@ -3,10 +3,10 @@
 #include <algorithm>
 #include <boost/fiber/operations.hpp>
 
+#include "daemon/holder_members.hpp"
 #include "net/event_loop.hpp"
 #include "net/fiber_event.hpp"
 #include "observability/events.hpp"
-#include "routing/rendezvous.hpp"
 
 namespace anisehold::daemon {
 namespace {
@@ -17,28 +17,22 @@
 using observability::Event;
 using observability::log_event;
 
+// All chosen, not measured.
+
+/// How long one round waits for a key's holders, and a peer is waited for that has the answer of a duplicate.
 constexpr milliseconds kAskTimeout{300};
+/// Rounds in which the holders are asked while no majority answers.
 constexpr int kMostRounds = 6;
+/// Pause after the first round, times the number of the round after later ones; jittered.
 constexpr milliseconds kRoundPause{20};
-constexpr milliseconds kTellTimeout{500};
-constexpr int kMostTells = 20;
-constexpr milliseconds kTellPause{500};
+/// How long a holder is waited for that is sent a claim's end, how often it is sent, and the pause between.
+constexpr milliseconds kUpdateTimeout{500};
+constexpr int kMostUpdates = 20;
+constexpr milliseconds kUpdatePause{500};
+/// Time between two looks at this daemon's own claims: expired ones, and holders to take over from.
 constexpr milliseconds kHolderPeriod{100};
+/// How long a holder is waited for that sends all its grants: a message of up to 8 MB.
 constexpr seconds kSyncTimeout{5};
-constexpr milliseconds kKeeperPeriod{100};
-constexpr std::size_t kHoldersPerZone = 3;
-/// A wish for another view must have lasted this long before it is proposed, unless a planned stop is all
-/// that it comes from.
-constexpr seconds kViewHysteresis{1};
-
-std::vector<Holder> as_holders(const std::vector<membership::MemberRecord>& records) {
-    std::vector<Holder> holders;
-    holders.reserve(records.size());
-    for (const auto& record : records) {
-        holders.push_back({record.info.id, record.info.boot_id, record.info.zone});
-    }
-    return holders;
-}
 
 }  // namespace
 
@@ -60,7 +54,8 @@
       holder_({context.self.id, context.self.boot_id, context.self.zone},
               milliseconds(context.settings.claims_window_ms),
               context.has(config::Mechanism::kClaimAbstention)),
-      answers_(milliseconds(context.settings.claims_window_ms)) {}
+      answers_(milliseconds(context.settings.claims_window_ms)),
+      view_keeper_(context, peers, membership, documents, holder_) {}
 
 void ClaimService::start() {
     documents_.set_holder_view_listener([this](const claims::HolderView& view) {
@@ -68,7 +63,7 @@
         report_serving();
     });
     net::EventLoop::spawn([this] { run_holder(); });
-    net::EventLoop::spawn([this] { run_view_keeper(); });
+    net::EventLoop::spawn([this] { view_keeper_.run(); });
 }
 
 ClaimOutcome ClaimService::claim(const std::string& key, std::uint64_t fingerprint, TimePoint deadline) {
@@ -128,7 +123,7 @@
         take(handle(round->request));
         return;
     }
-    const auto address = address_of(holder);
+    const auto address = address_of(membership_, holder);
     if (!address) {
         take(std::nullopt);
         return;
@@ -144,18 +139,18 @@
         if (holder.id == context_.self.id) {
             handle(update);
         } else {
-            net::EventLoop::spawn([this, holder, update] { tell_holder(holder, update); });
+            net::EventLoop::spawn([this, holder, update] { send_update(holder, update); });
         }
     }
 }
 
-void ClaimService::tell_holder(const Holder& holder, const claims::ClaimUpdate& update) {
-    for (int attempt = 0; attempt < kMostTells; ++attempt) {
-        const auto address = address_of(holder);
-        if (address && peers_.ask<Acknowledged>(*address, update, kTellTimeout)) {
+void ClaimService::send_update(const Holder& holder, const claims::ClaimUpdate& update) {
+    for (int attempt = 0; attempt < kMostUpdates; ++attempt) {
+        const auto address = address_of(membership_, holder);
+        if (address && peers_.ask<Acknowledged>(*address, update, kUpdateTimeout)) {
             return;
         }
-        boost::this_fiber::sleep_for(kTellPause);
+        boost::this_fiber::sleep_for(kUpdatePause);
     }
 }
 
@@ -206,18 +201,10 @@
     return reply;
 }
 
-std::optional<Endpoint> ClaimService::address_of(const Holder& holder) const {
-    const auto* record = membership_.find(holder.id);
-    if (record == nullptr || record->info.boot_id != holder.boot_id) {
-        return std::nullopt;
-    }
-    return record->info.peer;
-}
-
 void ClaimService::run_holder() {
     while (true) {
         boost::this_fiber::sleep_for(kHolderPeriod);
-        holder_.tick(TimePoint::clock::now(), gone_holders());
+        holder_.tick(TimePoint::clock::now(), ended_holders());
         for (const auto& source : holder_.sync_sources()) {
             sync_with(source);
         }
@@ -226,7 +213,7 @@
 }
 
 void ClaimService::sync_with(const Holder& source) {
-    const auto address = address_of(source);
+    const auto address = address_of(membership_, source);
     if (!address) {
         return;
     }
@@ -237,20 +224,14 @@
     }
 }
 
-bool ClaimService::is_gone(const Holder& holder) const {
-    const auto* record = membership_.find(holder.id);
-    const bool replaced = record != nullptr && record->info.boot_id != holder.boot_id;
-    return replaced || (record != nullptr && record->state == membership::MemberState::kLeft);
-}
-
-std::vector<Holder> ClaimService::gone_holders() const {
-    std::vector<Holder> gone;
+std::vector<Holder> ClaimService::ended_holders() const {
+    std::vector<Holder> ended;
     for (const auto& holder : holder_.view().previous) {
-        if (is_gone(holder)) {
-            gone.push_back(holder);
+        if (has_ended(membership_, holder)) {
+            ended.push_back(holder);
         }
     }
-    return gone;
+    return ended;
 }
 
 void ClaimService::report_serving() {
@@ -264,125 +245,16 @@
               {{"epoch", std::to_string(epoch)}, {"claims", std::to_string(holder_.size())}});
 }
 
-bool ClaimService::is_view_keeper() const {
-    std::vector<std::string> ids;
-    for (const auto& record : membership_.working_members()) {
-        ids.push_back(record.info.id);
-    }
-    const auto order = routing::rendezvous_order(ids, "holder-view-keeper");
-    return !order.empty() && ids[order.front()] == context_.self.id;
-}
-
-/// Whether the wished view differs from the present one only by members that announced their stop.
-bool ClaimService::is_planned(const std::vector<Holder>& wished) const {
-    const auto& present = documents_.holder_view().holders;
-    const auto is_new = [&](const Holder& holder) {
-        return std::find(present.begin(), present.end(), holder) == present.end();
-    };
-    const auto left_unplanned = [&](const Holder& holder) {
-        const bool stays = std::find(wished.begin(), wished.end(), holder) != wished.end();
-        const auto* record = membership_.find(holder.id);
-        const bool announced = record != nullptr && record->info.boot_id == holder.boot_id &&
-                               (record->state == membership::MemberState::kLeaving ||
-                                record->state == membership::MemberState::kLeft);
-        return !stays && !announced;
-    };
-    return std::none_of(wished.begin(), wished.end(), is_new) &&
-           std::none_of(present.begin(), present.end(), left_unplanned);
-}
-
 bool ClaimService::handed_over() {
     const auto& holders = documents_.holder_view().holders;
     const bool still_holder = std::any_of(holders.begin(), holders.end(), [&](const Holder& holder) {
         return holder.id == context_.self.id && holder.boot_id == context_.self.boot_id;
     });
-    return !still_holder && present_view_is_covered();
-}
-
-void ClaimService::run_view_keeper() {
-    constexpr auto no_wish = TimePoint::max();
-    TimePoint wished_since = no_wish;
-    std::uint64_t seen_version = 0;
-    std::uint64_t seen_epoch = 0;
-    while (true) {
-        boost::this_fiber::sleep_for(kKeeperPeriod);
-        const auto& view = documents_.holder_view();
-        const bool changed = membership_.version() != seen_version || view.epoch != seen_epoch;
-        if (!changed && wished_since == no_wish) {
-            continue;
-        }
-        seen_version = membership_.version();
-        seen_epoch = view.epoch;
-        const auto working = as_holders(membership_.working_members());
-        const auto wished = claims::choose_holders(view.holders, working, kHoldersPerZone);
-        const bool differs = wished != view.holders && !wished.empty();
-        if (differs && !is_view_keeper()) {
-            // Looked at again, since the keeper may fail without any change here.
-            seen_version = 0;
-        }
-        if (!differs || !is_view_keeper() || context_.settings.platform_stores.empty()) {
-            wished_since = no_wish;
-            continue;
-        }
-        const auto now = TimePoint::clock::now();
-        wished_since = std::min(wished_since, now);
-        if (now - wished_since >= kViewHysteresis || is_planned(wished)) {
-            wished_since = no_wish;
-            propose_view(wished);
-        }
-    }
+    return !still_holder && view_keeper_.present_view_is_covered();
 }
 
 claims::ClaimStatusReply ClaimService::handle(const claims::ClaimStatusRequest& request) const {
-    return {holder_.serving() && holder_.view().epoch == request.epoch};
-}
-
-bool ClaimService::serves(const Holder& holder, std::uint64_t epoch) {
-    if (holder.id == context_.self.id && holder.boot_id == context_.self.boot_id) {
-        return handle(claims::ClaimStatusRequest{epoch}).serving;
-    }
-    const auto address = address_of(holder);
-    if (!address) {
-        return false;
-    }
-    const auto reply =
-        peers_.ask<claims::ClaimStatusReply>(*address, claims::ClaimStatusRequest{epoch}, kAskTimeout);
-    return reply && reply->serving;
-}
-
-/// The next view can only take over from holders that serve the present one, or whose processes are gone.
-/// Changing the view in a minority part of a cut fleet would leave nobody to take over from.
-bool ClaimService::present_view_is_covered() {
-    const auto view = documents_.holder_view();
-    std::vector<Holder> missing;
-    for (const auto& holder : view.holders) {
-        if (!is_gone(holder) && !serves(holder, view.epoch)) {
-            missing.push_back(holder);
-        }
-    }
-    return view.holders.empty() || claims::covers_all_grants(view.holders, missing);
-}
-
-void ClaimService::propose_view(const std::vector<Holder>& holders) {
-    // The view may change while its holders are asked; the swap must be against the one they were asked
-    // about.
-    const auto revision = documents_.holder_view_revision();
-    const auto current = documents_.holder_view();
-    if (!present_view_is_covered()) {
-        return;
-    }
-    claims::HolderView next;
-    next.epoch = current.epoch + 1;
-    next.holders = holders;
-    next.previous = current.holders;
-    const auto text = claims::to_json_text(next);
-    const auto swap =
-        documents_.store().compare_and_swap(store::kHolderViewKey, revision, {{store::kHolderViewKey, text}});
-    if (swap.outcome == store::SwapOutcome::kDone) {
-        log_event(Event::kHolderViewChanged,
-                  {{"epoch", std::to_string(next.epoch)}, {"holders", std::to_string(holders.size())}});
-        documents_.offer({DocumentKind::kHolderView, swap.revision, text}, "own change");
-    }
+    return {holder_.serves(request.epoch)};
 }
 
 }  // namespace anisehold::daemon
--- a/src/daemon/claim_service.hpp
+++ b/src/daemon/claim_service.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// Claims on idempotency keys: this daemon as claimant, as holder, and as keeper of the holder view.
+/// Claims on idempotency keys over the peer protocol: this daemon as claimant and as holder. Owns the grants
+/// that this daemon made, and the answers that it keeps; relies on the holder view for who the holders are.
 #pragma once
 
 #include <memory>
 #include <optional>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
 #include "claims/claim_holder.hpp"
@@ -13,6 +13,7 @@
 #include "daemon/answer_store.hpp"
 #include "daemon/daemon_context.hpp"
 #include "daemon/document_service.hpp"
+#include "daemon/holder_view_keeper.hpp"
 #include "daemon/membership_service.hpp"
 #include "daemon/peer_client.hpp"
 
@@ -22,8 +23,8 @@
 struct ClaimOutcome {
     claims::ClaimResult result = claims::ClaimResult::kUnavailable;
     std::string key;
-    std::uint64_t claimant = 0;
-    claims::ClaimReply standing;  ///< When a duplicate.
+    std::uint64_t claimant = 0;   ///< Random; names this claim at its holders.
+    claims::ClaimReply standing;  ///< When a duplicate: the claim that holds the key.
 };
 
 /// Runs claims over the peer protocol.
@@ -33,9 +34,11 @@
                  DocumentService& documents);
 
     void start();
-    /// Claims a key; asks again for a short while, until `deadline` at most, when no majority answers.
+    /// Claims a key; asks again for a short while, until `deadline` at most, when no majority answers. Blocks
+    /// the fiber. The result is never `kPending`.
     ClaimOutcome claim(const std::string& key, std::uint64_t fingerprint, TimePoint deadline);
-    /// Tells the holders how a won claim ended; goes on in the background until each has been told.
+    /// Sends the holders how a won claim ended; in the background, again and again until each has
+    /// acknowledged it, for some ten seconds at most.
     void finish(const ClaimOutcome& won, claims::ClaimEnd end);
     /// For the planned stop: whether the holder view is without this daemon and served by the others, so that
     /// nobody needs this daemon's grants any more.
@@ -61,18 +64,10 @@
 
     ClaimOutcome claim_once(const std::string& key, std::uint64_t fingerprint, TimePoint deadline);
     void ask_holder(const std::shared_ptr<Round>& round, const claims::Holder& holder);
-    void tell_holder(const claims::Holder& holder, const claims::ClaimUpdate& update);
-    std::optional<Endpoint> address_of(const claims::Holder& holder) const;
+    void send_update(const claims::Holder& holder, const claims::ClaimUpdate& update);
     void run_holder();
     void sync_with(const claims::Holder& source);
-    bool is_gone(const claims::Holder& holder) const;
-    std::vector<claims::Holder> gone_holders() const;
-    bool serves(const claims::Holder& holder, std::uint64_t epoch);
-    bool present_view_is_covered();
-    void run_view_keeper();
-    bool is_view_keeper() const;
-    bool is_planned(const std::vector<claims::Holder>& wished) const;
-    void propose_view(const std::vector<claims::Holder>& holders);
+    std::vector<claims::Holder> ended_holders() const;
     void report_serving();
 
     DaemonContext& context_;
@@ -81,6 +76,7 @@
     DocumentService& documents_;
     claims::ClaimHolder holder_;
     AnswerStore answers_;
+    HolderViewKeeper view_keeper_;
     bool was_serving_ = false;
     std::uint64_t reported_epoch_ = 0;
 };
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -9,6 +9,7 @@
 #include "daemon/daemon_context.hpp"
 #include "daemon/document_service.hpp"
 #include "daemon/gate_service.hpp"
+#include "daemon/http_limits.hpp"
 #include "daemon/ingress.hpp"
 #include "daemon/membership_service.hpp"
 #include "daemon/peer_client.hpp"
@@ -24,11 +25,15 @@
 using observability::log_event;
 using observability::log_unless_bound;
 
+// All chosen, not measured.
+
 /// After the announcement callers and peers get this time to go elsewhere before the listener may close.
 constexpr milliseconds kLameDuck{1'500};
+/// Time between two looks at the calls in flight.
 constexpr milliseconds kDrainPoll{20};
 /// With the store down the holder view can't change; the stop doesn't wait for it longer than this.
 constexpr seconds kLongestHandover{10};
+/// Time between two looks at the holder view, which asks its holders.
 constexpr milliseconds kHandoverPoll{100};
 
 std::uint64_t random_seed() {
@@ -42,16 +47,6 @@
             settings.daemon_listen, settings.daemon_peer, settings.daemon_admin};
 }
 
-net::HttpServerLimits server_limits(const config::Settings& settings) {
-    net::HttpServerLimits limits;
-    limits.header_bytes = static_cast<std::size_t>(settings.limits_header_bytes);
-    limits.body_bytes = static_cast<std::uint64_t>(settings.limits_body_bytes);
-    limits.header_timeout_ms = milliseconds(settings.limits_header_timeout_ms);
-    limits.body_timeout_ms = milliseconds(settings.limits_body_timeout_ms);
-    limits.connections = static_cast<std::size_t>(settings.limits_connections);
-    return limits;
-}
-
 }  // namespace
 
 struct Daemon::Parts {
@@ -72,12 +67,17 @@
           ingress(context, peers, membership, documents, claims, gates, registry),
           peer_service(context, membership, documents, claims, gates),
           admin(context, peers, membership, documents, claims, gates, registry),
-          server(context.io, server_limits(context.settings),
+          server(context.io, caller_limits(context.settings),
                  {[this](net::HttpRequest& request, net::CancelSignal& cancel) {
                       return ingress.handle(request, cancel);
                   },
                   [this](ErrorKind kind) { return ingress.reject(kind); }}) {}
 
+    bool busy() const { return server.requests_in_flight() > 0 || gates.calls_in_flight() > 0; }
+    void wait_while_busy(TimePoint until) const;
+    /// Returns when nothing is in flight and the claims are handed over, or the settings' grace is over.
+    void drain();
+
     DaemonContext context;
     routing::BackendRegistry registry;
     PeerClient peers;
@@ -92,6 +92,28 @@
     net::HttpServer server;
 };
 
+void Daemon::Parts::wait_while_busy(TimePoint until) const {
+    while (busy() && TimePoint::clock::now() < until) {
+        boost::this_fiber::sleep_for(kDrainPoll);
+    }
+}
+
+void Daemon::Parts::drain() {
+    server.begin_closing();
+    const auto started = TimePoint::clock::now();
+    const auto grace_ends = started + milliseconds(context.settings.daemon_stop_grace_ms);
+    // The listener stays open while calls are in flight: their nested calls come in through it.
+    boost::this_fiber::sleep_for(kLameDuck);
+    wait_while_busy(grace_ends);
+    const auto handover_ends = started + kLongestHandover;
+    while (!claims.handed_over() && TimePoint::clock::now() < std::min(handover_ends, grace_ends)) {
+        boost::this_fiber::sleep_for(kHandoverPoll);
+    }
+    wait_while_busy(grace_ends);
+    server.stop_accepting();
+    wait_while_busy(grace_ends);
+}
+
 Daemon::Daemon(net::EventLoop& loop, config::Settings settings)
     : parts_(std::make_unique<Parts>(loop, std::move(settings))) {}
 
@@ -123,29 +145,7 @@
     parts_->admin.set_stopping();
     parts_->membership.announce_self(membership::MemberState::kLeaving);
     if (parts_->context.has(config::Mechanism::kDrain)) {
-        parts_->server.begin_closing();
-        const auto started = TimePoint::clock::now();
-        const auto grace_ends = started + milliseconds(parts_->context.settings.daemon_stop_grace_ms);
-        const auto busy = [this] {
-            return parts_->server.requests_in_flight() > 0 || parts_->gates.calls_in_flight() > 0;
-        };
-        // The listener stays open while calls are in flight: their nested calls come in through it.
-        boost::this_fiber::sleep_for(kLameDuck);
-        while (busy() && TimePoint::clock::now() < grace_ends) {
-            boost::this_fiber::sleep_for(kDrainPoll);
-        }
-        const auto handover_ends = started + kLongestHandover;
-        while (!parts_->claims.handed_over() &&
-               TimePoint::clock::now() < std::min(handover_ends, grace_ends)) {
-            boost::this_fiber::sleep_for(kHandoverPoll);
-        }
-        while (busy() && TimePoint::clock::now() < grace_ends) {
-            boost::this_fiber::sleep_for(kDrainPoll);
-        }
-        parts_->server.stop_accepting();
-        while (busy() && TimePoint::clock::now() < grace_ends) {
-            boost::this_fiber::sleep_for(kDrainPoll);
-        }
+        parts_->drain();
     }
     parts_->membership.announce_self(membership::MemberState::kLeft);
     log_event(Event::kStopped, {{"in_flight", std::to_string(parts_->server.requests_in_flight())}});
--- a/src/daemon/daemon_context.hpp
+++ b/src/daemon/daemon_context.hpp
@@ -1,11 +1,9 @@
 /// @file
-/// What all parts of one daemon share.
+/// What all parts of one daemon share: settings, metrics, recent decisions and randomness. Owns them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <random>
-#include <set>
-#include <string>
 
 #include "config/mechanisms.hpp"
 #include "config/settings.hpp"
@@ -16,12 +14,6 @@
 
 namespace anisehold::daemon {
 
-/// Faults of the ways to other daemons; only the lab sets them.
-struct PeerFaults {
-    double loss = 0;         ///< Share of datagrams that are dropped.
-    std::set<Endpoint> cut;  ///< Peer addresses that nothing is sent to.
-};
-
 /// Lives as long as the daemon; used from its one thread.
 struct DaemonContext {
     boost::asio::io_context& io;
@@ -31,8 +23,7 @@
     observability::Metrics metrics;
     observability::DecisionRing decisions;
     std::mt19937_64 random;
-    PeerFaults peer_faults{};
-    std::uint64_t control_bytes = 0;  ///< Sent and received on the peer address, UDP and TCP.
+    std::uint64_t control_bytes = 0;  ///< Bytes sent and received on the peer address, UDP and TCP.
 
     bool has(config::Mechanism mechanism) const { return mechanisms.has(mechanism); }
     /// Uniform in [0, 1).
--- a/src/daemon/document_service.cpp
+++ b/src/daemon/document_service.cpp
@@ -14,9 +14,16 @@
 using observability::Event;
 using observability::log_event;
 
+// All chosen, not measured.
+
+/// How long one call to the store may take.
 constexpr milliseconds kStoreTimeout{2'000};
+/// How long a peer is waited for that is asked for a document.
 constexpr seconds kFetchTimeout{2};
+/// Daemons of a zone that read the store: one may be gone without its zone noticing.
 constexpr std::size_t kReadersPerZone = 2;
+/// How often a daemon looks whether it is a reader; also the longest pause before a broken watch is opened
+/// again.
 constexpr milliseconds kRolePoll{500};
 
 std::size_t index_of(DocumentKind kind) {
@@ -82,8 +89,8 @@
         }
     }
     const auto order = routing::rendezvous_order(ids, "store-reader");
-    for (std::size_t place = 0; place < std::min(order.size(), kReadersPerZone); ++place) {
-        if (ids[order[place]] == context_.self.id) {
+    for (std::size_t rank = 0; rank < std::min(order.size(), kReadersPerZone); ++rank) {
+        if (ids[order[rank]] == context_.self.id) {
             return true;
         }
     }
--- a/src/daemon/document_service.hpp
+++ b/src/daemon/document_service.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// Keeps this daemon's copies of the table and the holder view: from the store, and from peers.
+/// Keeps this daemon's copies of the table and the holder view. Two daemons of each zone read them from the
+/// store; the others get them from peers, whose revisions come with the gossip. Owns the copies and the
+/// connection to the store; relies on the membership for who reads.
 #pragma once
 
 #include <array>
@@ -34,7 +36,8 @@
     /// The copy that is held, for a peer that asks.
     const Document& document(DocumentKind kind) const;
     DocumentRevisions revisions() const;
-    /// Offers a document from any source.
+    /// Takes a document of any source if it is newer and well formed; a refused one is logged. `source` is
+    /// for the log.
     void offer(const Document& document, std::string_view source);
 
     /// Whether this daemon is one of those of its zone that read the store.
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -4,8 +4,6 @@
 #include <boost/fiber/operations.hpp>
 #include <charconv>
 
-#include "admission/policy/aimd_limit.hpp"
-#include "admission/policy/fixed_limit.hpp"
 #include "net/event_loop.hpp"
 #include "observability/events.hpp"
 
@@ -16,9 +14,8 @@
 using config::Mechanism;
 using observability::DecisionStep;
 
+/// How often gates and ledgers are cleaned up and their metrics are set. Chosen, not measured.
 constexpr seconds kHousekeepingPeriod{1};
-/// With learning off, as good as none.
-constexpr unsigned kUnlimited = 100'000;
 constexpr seconds kDefaultRetryAfter{1};
 
 Duration retry_after_of(const net::HttpResponse& response) {
@@ -33,10 +30,10 @@
 
 }  // namespace
 
-/// Holds the place at the gate and the ledger of one dispatched call; gives both back once.
+/// Holds the slot at the gate and the ledger of one dispatched call; gives both back once.
 class GateService::Admission {
   public:
-    Admission(GateService& service, std::shared_ptr<Gate> gate, std::uint64_t id, std::string call_id,
+    Admission(GateService& service, std::shared_ptr<GateEntry> gate, std::uint64_t id, std::string call_id,
               const Endpoint& server)
         : service_(service), gate_(std::move(gate)), id_(id), call_id_(std::move(call_id)), server_(server) {
         ++service_.in_flight_;
@@ -59,13 +56,13 @@
             // The overload is further down; it says nothing about this server.
             outcome = SampleOutcome::kIgnored;
         }
-        service_.wake(*gate_, gate_->gate.finish(now, id_, outcome, report.nested_time));
+        gate_->wake(gate_->gate.finish(now, id_, outcome, report.nested_time));
         return report;
     }
 
   private:
     GateService& service_;
-    std::shared_ptr<Gate> gate_;
+    std::shared_ptr<GateEntry> gate_;
     std::uint64_t id_;
     std::string call_id_;
     Endpoint server_;
@@ -96,32 +93,20 @@
 
 }  // namespace
 
-GateService::GateService(DaemonContext& context, MembershipService& membership,
+GateService::GateService(DaemonContext& context, MembershipService& /*membership*/,
                          routing::BackendRegistry& registry)
-    : context_(context), membership_(membership), registry_(registry) {}
+    : context_(context), registry_(registry), gates_(context, registry) {}
 
 void GateService::start() {
     net::EventLoop::spawn([this] {
         while (true) {
             boost::this_fiber::sleep_for(kHousekeepingPeriod);
             ledger_.forget(TimePoint::clock::now());
-            drop_unlisted_gates();
-            for (const auto& [server, gate] : gates_) {
-                const auto load = gate->gate.load();
-                context_.metrics.set_gate(server.text(), {load.in_flight, load.queued, load.limit});
-            }
+            gates_.housekeep();
         }
     });
 }
 
-/// Servers come and go by the hundred a day; a gate goes with its server.
-void GateService::drop_unlisted_gates() {
-    std::erase_if(gates_, [&](const auto& entry) {
-        const auto load = entry.second->gate.load();
-        return registry_.find(entry.first) == nullptr && load.in_flight == 0 && load.queued == 0;
-    });
-}
-
 retry::DrawReply GateService::handle(const retry::DrawRequest& request) {
     return ledger_.draw(TimePoint::clock::now(), request);
 }
@@ -134,41 +119,6 @@
     ledger_.settle(request);
 }
 
-std::unique_ptr<admission::ConcurrencyLimit> GateService::make_limit(unsigned ceiling) const {
-    if (!context_.has(Mechanism::kGateLimit)) {
-        return std::make_unique<admission::FixedLimit>(kUnlimited);
-    }
-    const auto initial = static_cast<unsigned>(context_.settings.backends_initial_limit);
-    const auto connections = static_cast<unsigned>(context_.settings.backends_connections_per_server);
-    const unsigned most = ceiling == 0 ? connections : std::min(ceiling, connections);
-    return std::make_unique<admission::AimdLimit>(
-        admission::LimitBounds{ceiling == 0 ? std::min(initial, most) : most, most});
-}
-
-std::shared_ptr<GateService::Gate> GateService::gate_for(const Endpoint& server,
-                                                         const routing::RouteDecision& route) {
-    auto& gate = gates_[server];
-    const unsigned ceiling = route.service_row.limit;
-    if (!gate) {
-        net::HttpPoolLimits pool;
-        pool.connections = static_cast<std::size_t>(context_.settings.backends_connections_per_server);
-        pool.connect_timeout_ms = milliseconds(context_.settings.backends_connect_timeout_ms);
-        pool.body_timeout_ms = milliseconds(context_.settings.limits_body_timeout_ms);
-        pool.reuse_unclean = !context_.has(Mechanism::kConnectionHygiene);
-        admission::GateOptions options;
-        options.by_priority = context_.has(Mechanism::kPriorityAdmission);
-        gate = std::make_shared<Gate>(make_limit(ceiling), options, context_.io, server, pool);
-        gate->ceiling = ceiling;
-        observability::log_event(observability::Event::kGateOpened, {{"server", server.text()}});
-    }
-    if (gate->ceiling != ceiling) {
-        // The operators changed the cell: start again from the new ceiling.
-        gate->ceiling = ceiling;
-        gate->gate.set_limit(make_limit(ceiling));
-    }
-    return gate;
-}
-
 CallResult GateService::dispatch(Call& call, const Endpoint& server) {
     const auto candidates = registry_.candidates(TimePoint::clock::now(), call.service, {});
     const bool takes_work = std::any_of(candidates.begin(), candidates.end(),
@@ -178,71 +128,14 @@
         result.server_leaving = true;
         return result;
     }
-    const auto gate = gate_for(server, call.route);
+    const auto gate = gates_.gate_for(server, call.route);
     const auto id = next_id_++;
-    if (auto refused = wait_for_admission(*gate, call, id)) {
+    if (auto refused = gates_.wait_for_admission(*gate, call, id)) {
         return std::move(*refused);
     }
     return run(gate, call, server, id);
 }
 
-std::optional<CallResult> GateService::wait_for_admission(Gate& gate, const Call& call, std::uint64_t id) {
-    admission::GateCall gate_call;
-    gate_call.id = id;
-    gate_call.priority = call.context.priority;
-    gate_call.root_in_progress = !call.is_root();
-    gate_call.row = call.route.row.name;
-    gate_call.row_weight = call.route.row.weight;
-    gate_call.row_limit = call.route.row.kind == config::RowKind::kRequest ? call.route.row.limit : 0;
-    gate_call.root_started = call.root_started;
-    gate_call.deadline = call.deadline;
-    const auto decision = gate.gate.arrive(TimePoint::clock::now(), gate_call);
-    if (decision.evicted) {
-        const auto evicted = gate.waiters.find(*decision.evicted);
-        if (evicted != gate.waiters.end()) {
-            evicted->second->evicted = true;
-            evicted->second->event.set();
-        }
-    }
-    if (decision.verdict == admission::GateVerdict::kAdmitted) {
-        return std::nullopt;
-    }
-    if (decision.verdict == admission::GateVerdict::kRefused) {
-        return CallResult::refusal(decision.refusal, call.service, decision.retry_after);
-    }
-    context_.decisions.add(call.context.root_id, call.context.call_id, DecisionStep::kQueued, gate_call.row);
-    const auto waiter = std::make_shared<Waiter>();
-    gate.waiters[id] = waiter;
-    {
-        net::CancelSubscription subscription(call.cancel, [waiter] { waiter->event.set(); });
-        waiter->event.wait_until(decision.give_up_at);
-    }
-    gate.waiters.erase(id);
-    if (waiter->admitted) {
-        return std::nullopt;
-    }
-    gate.gate.abandon(id);
-    if (waiter->evicted) {
-        return CallResult::refusal(ErrorKind::kOverloaded, call.service, decision.retry_after);
-    }
-    if (call.cancel != nullptr && call.cancel->cancelled()) {
-        auto result = CallResult::failure(ErrorKind::kCancelled);
-        result.execution = Execution::kNotRun;
-        return result;
-    }
-    return CallResult::refusal(ErrorKind::kQueueTimeout, call.service, decision.retry_after);
-}
-
-void GateService::wake(Gate& gate, const std::vector<std::uint64_t>& ids) {
-    for (const auto id : ids) {
-        const auto found = gate.waiters.find(id);
-        if (found != gate.waiters.end()) {
-            found->second->admitted = true;
-            found->second->event.set();
-        }
-    }
-}
-
 net::HttpRequest GateService::server_request(Call& call) const {
     const auto now = TimePoint::clock::now();
     auto request = forwarded_request(call);
@@ -255,7 +148,7 @@
     return request;
 }
 
-CallResult GateService::run(const std::shared_ptr<Gate>& gate, Call& call, const Endpoint& server,
+CallResult GateService::run(const std::shared_ptr<GateEntry>& gate, Call& call, const Endpoint& server,
                             std::uint64_t id) {
     ledger_.open(call.context.call_id, {call.context.retry_allowance, call.deadline, call.root_started});
     const auto admission = std::make_shared<Admission>(*this, gate, id, call.context.call_id, server);
@@ -349,18 +242,4 @@
     return result;
 }
 
-std::vector<GateStatus> GateService::status() const {
-    std::vector<GateStatus> all;
-    for (const auto& [server, gate] : gates_) {
-        all.push_back(
-            {server, gate->gate.load(), gate->gate.admitted_priority(), gate->client.open_connections()});
-    }
-    return all;
-}
-
-admission::GateLoad GateService::load_of(const Endpoint& server) const {
-    const auto found = gates_.find(server);
-    return found == gates_.end() ? admission::GateLoad{} : found->second->gate.load();
-}
-
 }  // namespace anisehold::daemon
--- a/src/daemon/ingress.cpp
+++ b/src/daemon/ingress.cpp
@@ -10,14 +10,16 @@
 namespace anisehold::daemon {
 namespace {
 
-using config::Mechanism;
 using observability::DecisionStep;
 using observability::Event;
 using observability::log_event;
 
 constexpr milliseconds kDefaultRetryAfter{1'000};
+/// Hex digits of the ids that are made here, as in W3C trace context: a trace id and a span id.
 constexpr std::size_t kRootIdDigits = 32;
 constexpr std::size_t kCallIdDigits = 16;
+/// Longest timeout that a caller may ask for, and longest Retry-After that is reported, in milliseconds.
+/// Chosen, not measured.
 constexpr long long kMaxTimeoutMs = 3'600'000;
 /// Media type of problem details (RFC 9457).
 constexpr const char* kProblemType = "application/problem+json";
@@ -70,7 +72,6 @@
     : context_(context),
       documents_(documents),
       gates_(gates),
-      registry_(registry),
       server_route_(context, membership, registry, gates),
       retry_route_(context, server_route_),
       claim_route_(context, claims, retry_route_),
--- a/src/daemon/ingress.hpp
+++ b/src/daemon/ingress.hpp
@@ -1,9 +1,8 @@
 /// @file
-/// Takes calls in: from callers, from back ends (nested calls) and from other daemons (gate requests).
+/// Takes calls in: from callers, from servers (nested calls) and from other daemons (gate requests). Owns the
+/// handles that a call passes; relies on the table in force for the call's row.
 #pragma once
 
-#include <memory>
-
 #include "daemon/call.hpp"
 #include "daemon/claim_service.hpp"
 #include "daemon/daemon_context.hpp"
@@ -45,7 +44,6 @@
     DaemonContext& context_;
     DocumentService& documents_;
     GateService& gates_;
-    routing::BackendRegistry& registry_;
 
     // Root request:  client ledger -> early refusal -> claim -> retry -> server.
     // Nested call:   ledger        ->                  claim -> retry -> server.
--- a/src/daemon/peer_client.cpp
+++ b/src/daemon/peer_client.cpp
@@ -7,9 +7,6 @@
 std::optional<PeerReply> PeerClient::exchange(const Endpoint& peer, const PeerRequest& request,
                                               Duration timeout) {
     const auto& key = context_.settings.daemon_mesh_key;
-    if (context_.peer_faults.cut.contains(peer)) {
-        return std::nullopt;
-    }
     std::error_code error;
     const auto sent = encode(request, key);
     const auto frame = client_.exchange(peer, sent, TimePoint::clock::now() + timeout, error);
--- a/src/daemon/peer_client.hpp
+++ b/src/daemon/peer_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Typed questions to other daemons.
+/// Typed requests to other daemons, over TCP. Owns its connections; relies on peer_messages for the encoding.
 #pragma once
 
 #include <optional>
@@ -10,12 +10,12 @@
 
 namespace anisehold::daemon {
 
-/// Sends peer requests over TCP.
 class PeerClient {
   public:
     explicit PeerClient(DaemonContext& context);
 
-    /// The reply of the expected type; nothing if none came in time or it was of another type.
+    /// The reply of the expected type; nothing if none came within `timeout`, it wasn't authentic, or it was
+    /// of another type. Blocks the fiber.
     template <typename Reply>
     std::optional<Reply> ask(const Endpoint& peer, const PeerRequest& request, Duration timeout) {
         auto reply = exchange(peer, request, timeout);
--- a/src/daemon/peer_messages.hpp
+++ b/src/daemon/peer_messages.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Messages between daemons over TCP, and the authenticated encoding of those and of gossip datagrams.
+/// Messages between table daemons over TCP, and the authenticated encoding of those and of gossip datagrams.
+/// The order of the alternatives of `PeerRequest` and `PeerReply` is part of the encoding.
 #pragma once
 
 #include <boost/variant.hpp>
@@ -95,7 +96,7 @@
     boost::variant<Acknowledged, MembersReply, Document, claims::ClaimReply, claims::ClaimSyncReply,
                    claims::ClaimStatusReply, retry::DrawReply, AnswerReply, RevisionsReply>;
 
-/// Largest encoded message; a longer frame is refused unread.
+/// Largest encoded message, in bytes; a longer frame is refused unread. Chosen, not measured.
 inline constexpr std::size_t kMaxFrameBytes = 8 * 1024 * 1024;
 
 /// Encodes with a leading authentication code under `key`.
--- a/src/daemon/peer_service.hpp
+++ b/src/daemon/peer_service.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Answers other daemons' requests.
+/// Answers other daemons' requests over TCP. Owns the listener; a frame that isn't authentic is logged and
+/// closes the connection unanswered.
 #pragma once
 
 #include "daemon/claim_service.hpp"
