--- a/lab/platform_server.hpp
+++ b/lab/platform_server.hpp
@@ -29,7 +29,7 @@
     std::string id;
     std::string target;
     bool runs = false;       ///< Otherwise the server declined it and said so.
-    std::string tenant;      ///< The one that the server was told; empty if none was.
+    std::string tenant;      ///< The one that the request names; empty if it names none.
     bool shows_key = false;  ///< The caller's key came along.
 };
 
--- a/soak/promises.hpp
+++ b/soak/promises.hpp
@@ -31,7 +31,7 @@
     answeredInTime,   /**< Still no answer long after its deadline, at a machine without a fault. */
     recovers,         /**< After the last fault the share of served requests stays low. */
     staysAlive,       /**< A process ended by itself. */
-    tenantIsSet,      /**< A server was told another tenant than its key's. */
+    tenantIsSet,      /**< A server got another tenant than its key's. */
     keyIsHidden,      /**< A server was shown the caller's key. */
     revokedIsRefused  /**< It ran although its key had been taken away long before it was sent. */
 };
@@ -77,7 +77,7 @@
     std::string target;
     bool runs = false;
     TimePoint at;
-    std::string tenant{}; /**< That the server was told. */
+    std::string tenant{}; /**< That the server got. */
     bool showsKey = false;
 };
 
--- a/tests/incidents/chain_model.cpp
+++ b/tests/incidents/chain_model.cpp
@@ -15,7 +15,7 @@
 constexpr milliseconds pressedPeriod{ 400 };
 /** As the sidecar's gates have it. */
 constexpr double queuePerLimit = 1.5;
-/** Bounds of repeats, as on the recorded deployment, and most servers that one call may reach. */
+/** Bounds of retries, as on the recorded deployment, and most servers that one call may reach. */
 const retry::WindowBudgetTerms budgetTerms{ 0.2, 49, milliseconds (10'000) };
 constexpr unsigned mostServers = 3;
 /** Time in which a server declines. */
@@ -139,22 +139,29 @@
     tryServers (call);
 }
 
+std::size_t ChainModel::leastFilled (const Call& call) const
+{
+    std::size_t best = servers.size();
+    const auto fill = [&] (std::size_t n)
+    {
+        const auto load = servers[n]->gate.load();
+        return (load.in_flight + load.queued) / static_cast<double> (load.limit);
+    };
+
+    for (std::size_t n = 0; n < servers.size(); ++n)
+    {
+        if (! call.tried[n] && (best == servers.size() || fill (n) < fill (best)))
+            best = n;
+    }
+
+    return best;
+}
+
 void ChainModel::tryServers (const std::shared_ptr<Call>& call)
 {
     while (true)
     {
-        std::size_t best = servers.size();
-        const auto fill = [&] (std::size_t n)
-        {
-            const auto load = servers[n]->gate.load();
-            return (load.in_flight + load.queued) / static_cast<double> (load.limit);
-        };
-
-        for (std::size_t n = 0; n < servers.size(); ++n)
-        {
-            if (! call->tried[n] && (best == servers.size() || fill (n) < fill (best)))
-                best = n;
-        }
+        const auto best = leastFilled (*call);
 
         if (best == servers.size() || now > call->waitEnds)
             return endCall (call, true);
--- a/tests/incidents/chain_model.hpp
+++ b/tests/incidents/chain_model.hpp
@@ -119,6 +119,9 @@
     void sendRequests (const RowTerms&);
     void beginRequest (const RowTerms&);
     void beginCall (const std::shared_ptr<Chain>&);
+    /** The server that the call hasn't tried and that is filled least; the number of servers if it tried all.
+     */
+    std::size_t leastFilled (const Call&) const;
     void tryServers (const std::shared_ptr<Call>&);
     void startWork (std::size_t server, const std::shared_ptr<Call>&);
     void endWork (std::size_t server, const std::shared_ptr<Call>&);
--- a/tests/incidents/crash_model.cpp
+++ b/tests/incidents/crash_model.cpp
@@ -289,7 +289,7 @@
     void tell (std::size_t from, const std::function<void (CrashLedger&)>& report)
     {
         report (ledgers[from]);
-        after (ways.telling,
+        after (ways.reportDelay,
                [this, from, report]
                {
                    for (std::size_t n = 0; n < numDaemons; ++n)
@@ -323,7 +323,7 @@
 
         for (const auto& it : runs)
         {
-            // The result tells the daemon near the caller.
+            // The result shows it to the daemon near the caller.
             const auto identity = it.request->identity();
             suspects::noteCrashes (ledgers[it.request->daemon], now, identity,
                                    suspects::crashesOf (ledgers[gateOf (server)], now, identity));
--- a/tests/incidents/crash_model.hpp
+++ b/tests/incidents/crash_model.hpp
@@ -10,11 +10,11 @@
 /** What is compared. The values here are those in force. */
 struct CrashWays
 {
-    bool remembers = true;        /**< Otherwise nothing is known of earlier crashes. */
-    bool sendsToOneServer = true; /**< A suspect; otherwise to a random one. */
-    bool limitsSuspects = true;   /**< A few at a time, alone after two crashes. */
-    unsigned toCondemn = 3;       /**< Crashes after which a request is sent to no server; 2 or 3. */
-    milliseconds telling{ 2 };    /**< How long news take to the other daemons. */
+    bool remembers = true;         /**< Otherwise nothing is known of earlier crashes. */
+    bool sendsToOneServer = true;  /**< A suspect; otherwise to a random one. */
+    bool limitsSuspects = true;    /**< A few at a time, alone after two crashes. */
+    unsigned toCondemn = 3;        /**< Crashes after which a request is sent to no server; 2 or 3. */
+    milliseconds reportDelay{ 2 }; /**< How long a report takes to the other daemons. */
 };
 
 /** One day. */
--- a/tests/incidents/crash_ways_test.cpp
+++ b/tests/incidents/crash_ways_test.cpp
@@ -1,7 +1,7 @@
 /** The ways of keeping a request that crashes servers from others, compared in simulated time; the story is
    at the head of fatal_request_test.cpp. With nothing remembered, as it was, a day has 19.2 crashes and 0.643
    of the others fail; with the ways in force 3.0 and 0.0000, means of 40 days. The whole table stands in
-    docs/design/fatal-requests.md.
+    docs/design/suspects.md.
 */
 #include <catch2/catch.hpp>
 #include <iomanip>
@@ -83,7 +83,7 @@
         CrashWays two;
         two.toCondemn = 2;
         CrashWays slow;
-        slow.telling = milliseconds (200);
+        slow.reportDelay = milliseconds (200);
         std::cout << (day.hasFatalRequest ? "fatal request" : "none")
                   << (day.hasOneCaller ? "" : ", of several callers")
                   << (day.selfCrashGap > Duration::zero() ? ", servers crash of themselves\n" : "\n");
@@ -92,7 +92,7 @@
         print ("suspects to any server", summaryOf (spread, day));
         print ("suspects not limited", summaryOf (unlimited, day));
         print ("condemned after two", summaryOf (two, day));
-        print ("news take 200 ms", summaryOf (slow, day));
+        print ("reports take 200 ms", summaryOf (slow, day));
     }
 }
 
--- a/tests/incidents/fatal_request_test.cpp
+++ b/tests/incidents/fatal_request_test.cpp
@@ -11,7 +11,7 @@
     Cause: what ran at a server when it ended was known to nobody. A broken connection was one attempt's
    failure, and nothing that one daemon learned of a request outlived that request or reached another daemon.
 
-    Before the mending, one run each: 20 crashes in 14 s, 12 late arrivals, others served 0.12 from the third
+    Before the repair, one run each: 20 crashes in 14 s, 12 late arrivals, others served 0.12 from the third
    crash on. After it 3 crashes, none late, others 1.000, in three runs of three.
 
     Evidence: each end of a server has its digests in the line `server-crashed` of the daemon beside it; the
@@ -38,7 +38,7 @@
 constexpr unsigned statusOk = 200;
 constexpr const char* fatalTarget = "/back/fatal-0";
 /** How long a verdict may take to be known everywhere, from the third crash on. */
-constexpr milliseconds telling{ 3'000 };
+constexpr milliseconds spreadTime{ 3'000 };
 constexpr std::size_t numMachines = 7;
 
 /** Three machines of "front" and four of "back", whose servers take 30 ms. */
@@ -61,7 +61,7 @@
     return plans;
 }
 
-/** Clients that send requests at all machines, and repeat a failed one once, at once, elsewhere. */
+/** Clients that send requests at all machines, and send a failed one once more, at once, elsewhere. */
 class Traffic
 {
 public:
@@ -71,7 +71,7 @@
     {
     }
 
-    /** One request, with its repetition. True if it was served. */
+    /** One request, with its retry. True if it was served. */
     bool request (const std::string& target)
     {
         bool served = false;
@@ -87,7 +87,7 @@
         return served;
     }
 
-    /** The same in a fiber of its own; `then` is told whether it was served. */
+    /** The same in a fiber of its own; `then` gets whether it was served. */
     void spawnRequest (const std::string& target, std::function<void (bool)> then = {})
     {
         ++numUnderWay;
@@ -158,7 +158,7 @@
         if (crashes.size() < 3)
             return 0;
 
-        const auto since = crashes[2] + telling;
+        const auto since = crashes[2] + spreadTime;
         return static_cast<std::size_t> (
             std::count_if (arrivals.begin(), arrivals.end(), [&] (TimePoint it) { return it > since; }));
     }
@@ -200,73 +200,86 @@
     poll_until (seconds (10), [&] { return traffic.numUnderWay == 0; });
 }
 
+/** A started fleet whose servers end under the fatal request, and its clients. */
+struct FatalFleet
+{
+    FatalFleet (std::uint16_t basePort, unsigned seed, bool keepsInstance = false)
+        : fleet (basePort, machines (keepsInstance)),
+          traffic (fleet, seed)
+    {
+        REQUIRE (fleet.start (configuration_text (1, { "front", "back" }, {})));
+        record = observe (fleet);
+    }
+
+    /** Runs the traffic until at least three servers have crashed. */
+    void crashThree (milliseconds time)
+    {
+        run (traffic, time);
+        REQUIRE (record->crashes.size() >= 3);
+    }
+
+    void showCounts() const
+    {
+        WARN ("crashes " << record->crashes.size() << ", late arrivals " << record->numLate());
+    }
+
+    SidecarFleet fleet;
+    Traffic traffic;
+    std::shared_ptr<FatalRecord> record;
+};
+
 } // namespace
 
 TEST_CASE ("a request that crashes each server that begins it crashes three at most", "[fatal]")
 {
     const bool keepsInstance = GENERATE (false, true);
     CAPTURE (keepsInstance);
-    SidecarFleet fleet (keepsInstance ? 30'200 : 30'800, machines (keepsInstance));
-    REQUIRE (fleet.start (configuration_text (1, { "front", "back" }, {})));
-    const auto record = observe (fleet);
-    Traffic traffic (fleet, 1);
-    run (traffic, seconds (14));
-
-    REQUIRE (record->crashes.size() >= 3);
-    const double served = traffic.servedShare (record->crashes[2]);
-    WARN ("crashes " << record->crashes.size() << ", late arrivals " << record->numLate()
-                     << ", others served " << served << " from the third crash on");
-    CHECK (record->numLate() <= 3);
-    CHECK (record->crashes.size() <= 3);
+    FatalFleet it (keepsInstance ? 30'200 : 30'800, 1, keepsInstance);
+    it.crashThree (seconds (14));
+    it.showCounts();
+    const double served = it.traffic.servedShare (it.record->crashes[2]);
+    WARN ("others served " << served << " from the third crash on");
+    CHECK (it.record->numLate() <= 3);
+    CHECK (it.record->crashes.size() <= 3);
     CHECK (served >= 0.95);
 }
 
 TEST_CASE ("a fatal request of several callers crashes one server more at most", "[fatal]")
 {
-    SidecarFleet fleet (31'100, machines (false));
-    REQUIRE (fleet.start (configuration_text (1, { "front", "back" }, {})));
-    const auto record = observe (fleet);
-    Traffic traffic (fleet, 5);
-    traffic.numFatalMachines = fleet.size();
-    run (traffic, seconds (10));
-    REQUIRE (record->crashes.size() >= 3);
-    WARN ("crashes " << record->crashes.size() << ", late arrivals " << record->numLate());
+    FatalFleet it (31'100, 5);
+    it.traffic.numFatalMachines = it.fleet.size();
+    it.crashThree (seconds (10));
+    it.showCounts();
     // A second caller's like request may be harmless, and is tried once.
-    CHECK (record->crashes.size() <= 4);
-    CHECK (record->numLate() <= 3);
+    CHECK (it.record->crashes.size() <= 4);
+    CHECK (it.record->numLate() <= 3);
 }
 
 TEST_CASE ("what is known of such a request outlasts a kill of all daemons", "[fatal]")
 {
-    SidecarFleet fleet (30'400, machines (false));
-    REQUIRE (fleet.start (configuration_text (1, { "front", "back" }, {})));
-    const auto record = observe (fleet);
-    Traffic traffic (fleet, 2);
-    run (traffic, seconds (7));
-    REQUIRE (record->crashes.size() >= 3);
+    FatalFleet it (30'400, 2);
+    it.crashThree (seconds (7));
 
-    for (std::size_t n = 0; n < fleet.size(); ++n)
-        fleet.kill (n);
+    for (std::size_t n = 0; n < it.fleet.size(); ++n)
+        it.fleet.kill (n);
 
-    for (std::size_t n = 0; n < fleet.size(); ++n)
-        fleet.start_sidecar (n);
+    for (std::size_t n = 0; n < it.fleet.size(); ++n)
+        it.fleet.start_sidecar (n);
 
-    run (traffic, seconds (7));
-    WARN ("crashes " << record->crashes.size() << ", late arrivals " << record->numLate());
-    CHECK (record->numLate() <= 3);
-    CHECK (record->crashes.size() <= 3);
+    run (it.traffic, seconds (7));
+    it.showCounts();
+    CHECK (it.record->numLate() <= 3);
+    CHECK (it.record->crashes.size() <= 3);
 }
 
 TEST_CASE ("an operator sees the verdict at any daemon, and lifts it for all", "[fatal]")
 {
-    SidecarFleet fleet (31'000, machines (false));
-    REQUIRE (fleet.start (configuration_text (1, { "front", "back" }, {})));
-    const auto record = observe (fleet);
-    Traffic traffic (fleet, 4);
-    run (traffic, seconds (4));
-    REQUIRE (record->crashes.size() >= 3);
+    FatalFleet it (31'000, 4);
+    it.crashThree (seconds (4));
+    auto& fleet = it.fleet;
+    auto& traffic = it.traffic;
     std::string listed;
-    REQUIRE (fleet.eventually (telling,
+    REQUIRE (fleet.eventually (spreadTime,
                                [&]
                                {
                                    listed = fleet.ask_operator_address (0, "GET", "/suspects/");
@@ -283,7 +296,7 @@
 
     CHECK_FALSE (traffic.request (fatalTarget));
     CHECK (fleet.ask_operator_address (0, "DELETE", "/suspects/" + digest) == "lifted\n");
-    CHECK (fleet.eventually (telling, [&] { return traffic.request (fatalTarget); }));
+    CHECK (fleet.eventually (spreadTime, [&] { return traffic.request (fatalTarget); }));
 }
 
 TEST_CASE ("servers that crash of themselves condemn no request", "[fatal]")
--- a/tests/incidents/restart_repeats_test.cpp
+++ b/tests/incidents/restart_retries_test.cpp
@@ -1,15 +1,15 @@
 /** What was seen: while servers declined half of their calls whatever their load, all daemons were killed and
-    came back 0.7 s later. In a window of 10 s across the kill more calls were repeated than the bound allows,
+    came back 0.7 s later. In a window of 10 s across the kill more calls were retried than the bound allows,
    by 1 to 5 %, in nine of nine plays; in none without the kill.
 
-    Order of events: declines begin, and within a second the daemons spend on repeats what the requests of the
+    Order of events: declines begin, and within a second the daemons spend on retries what the requests of the
     last 10 calm seconds allow them. They are killed. The new ones spend what their own requests allow from
     the first moment on, and within the same window of 10 s both count.
 
     Cause: a new process took its window for empty, when it is unknown.
 
     Evidence: the model below breaks the bound as the plays did, with nothing but budgets in it: no call of
-    an open run and no repeat of a level above is needed for it.
+    an open run and no retry of a level above is needed for it.
 */
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -80,7 +80,7 @@
                 if (! fleet[daemon]->try_retry (now, "s", numDaemons, RetryReason::kNoAnswer))
                     break;
 
-                repeats.add (now);
+                retries.add (now);
             }
 
             watch();
@@ -94,9 +94,9 @@
         const auto in = [&] (Duration before) { return requests.inWindow (now, terms.window, before); };
         const double counted = std::max ({ in ({}), in (terms.window / 2), in (terms.window) });
         const double bound = terms.ratio * counted + terms.extra;
-        mostUsed = std::max (mostUsed, repeats.inWindow (now, terms.window, {}) / bound);
+        mostUsed = std::max (mostUsed, retries.inWindow (now, terms.window, {}) / bound);
         requests.forget (now, terms.window);
-        repeats.forget (now, terms.window);
+        retries.forget (now, terms.window);
     }
 
     double draw() { return std::uniform_real_distribution<double> (0, 1) (random); }
@@ -106,7 +106,7 @@
     std::vector<std::unique_ptr<WindowBudget>> fleet;
     TimePoint now{ seconds (1'000) };
     SlidingCount requests;
-    SlidingCount repeats;
+    SlidingCount retries;
     double mostUsed = 0;
 };
 
--- a/tests/incidents/shortage_test.cpp
+++ b/tests/incidents/shortage_test.cpp
@@ -5,10 +5,10 @@
     Order of events: two of the three servers left, 4 s apart. The limit of root requests fell to 0.13 within
     2 s. All daemons were killed and came back; two seconds later the shares served were what they had been.
 
-    Cause: what room there was went to the most important row alone, whose requests make twice the calls of
-   the next; rows below it got nothing, whatever little they needed. And the server itself ran at its slowest:
-   its gate compares how long calls take with all slots taken and with some free, and with a queue that is
-   never empty none are ever free.
+    Cause: what capacity there was went to the most important row alone, whose requests make twice the calls
+   of the next; rows below it got nothing, whatever little they needed. And the server itself ran at its
+   slowest: its gate compares how long calls take with all slots taken and with some free, and with a queue
+   that is never empty none are ever free.
 
     Evidence: `let_in` of the lines root-limit-moved; in 195 of 195 gate-call lines of the last server 20 of
     20 slots were taken, 45.8 ms a call at a work of 22 ms and a slowness of 1.6.
@@ -125,7 +125,7 @@
     "while servers decline whatever their load, what makes one call or none doesn't pay for the chains",
     "[room]")
 {
-    // Nothing is full, so nothing is refused early: all chains are let in, and most break off.
+    // Nothing is full, so nothing is refused early: all chains are admitted, and most break off.
     auto rows = recordedRows();
 
     for (auto& it : rows)
--- a/tests/integration/sidecar_test.cpp
+++ b/tests/integration/sidecar_test.cpp
@@ -110,7 +110,7 @@
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     fleet.machine(4).server->faults.declines = true;
-    fleet.pause(seconds(2));  // A new process has no share of the extra repeats in its first window.
+    fleet.pause(seconds(2));  // A new process has no share of the extra retries in its first window.
     unsigned served = 0;
     for (int request = 0; request < 20; ++request) {
         const auto id = "pay-" + std::to_string(request);
@@ -126,7 +126,7 @@
 TEST_CASE("spoiled answers are not passed on", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
-    // Both servers of the service: of a good and a bad one, the bad one would soon be passed by.
+    // Both servers of the service: of a good and a bad one, the bad one would soon be passed over.
     const auto set_faults = [&](const lab::PlatformServerFaults& faults) {
         fleet.machine(2).server->faults = faults;
         fleet.machine(3).server->faults = faults;
--- a/tests/integration/tenants_test.cpp
+++ b/tests/integration/tenants_test.cpp
@@ -53,11 +53,11 @@
     return request;
 }
 
-std::string tenant_told(SidecarFleet& fleet, const std::string& id) {
+std::string tenant_named(SidecarFleet& fleet, const std::string& id) {
     for (std::size_t index = 0; index < fleet.size(); ++index) {
-        const auto& told = fleet.machine(index).server->tenants();
-        const auto found = told.find(id);
-        if (found != told.end()) {
+        const auto& named = fleet.machine(index).server->tenants();
+        const auto found = named.find(id);
+        if (found != named.end()) {
             return found->second;
         }
     }
@@ -97,16 +97,16 @@
     REQUIRE(start_with_key(fleet, configuration(1, {{"blue", {{"secret-b"}}}, {"green", {{"secret-g"}}}}),
                            "secret-b"));
     CHECK(fleet.send(0, keyed("one", "secret-b")).status == 200);
-    CHECK(tenant_told(fleet, "one") == "blue");
+    CHECK(tenant_named(fleet, "one") == "blue");
     CHECK(fleet.send(1, keyed("two", "secret-g")).status == 200);
-    CHECK(tenant_told(fleet, "two") == "green");
+    CHECK(tenant_named(fleet, "two") == "green");
     CHECK(fleet.send(1, keyed("three", "secret-x")).status == 401);
     CHECK(fleet.send(1, {"GET", "front.example", "/front/a", "four"}).status == 401);
-    CHECK(tenant_told(fleet, "three") == "(not run)");
+    CHECK(tenant_named(fleet, "three") == "(not run)");
     ClientRequest anonymous{"GET", "back.example", "/back/a", "five"};
     anonymous.fields.add("Tenant", "forged");
     CHECK(fleet.send(0, anonymous).status == 200);
-    CHECK(tenant_told(fleet, "five").empty());
+    CHECK(tenant_named(fleet, "five").empty());
     CHECK(keys_seen(fleet) == 0);
     fleet.pause(milliseconds(500));
     for (std::size_t index = 0; index < fleet.size(); ++index) {
@@ -137,7 +137,7 @@
             for (const auto* key : {"secret-1", "secret-2"}) {
                 const auto id = std::string("d") + std::to_string(index) + key;
                 CHECK(fleet.send(index, keyed(id, key)).status == 503);
-                CHECK(tenant_told(fleet, id) == "(not run)");
+                CHECK(tenant_named(fleet, id) == "(not run)");
             }
         }
         CHECK(fleet.send(0, {"GET", "back.example", "/back/a", "e"}).status == 200);
@@ -153,7 +153,7 @@
         fleet.thaw(0);
         const auto status = fleet.send(0, keyed("h", "secret-1")).status;
         CHECK((status == 503 || status == 401));
-        CHECK(tenant_told(fleet, "h") == "(not run)");
+        CHECK(tenant_named(fleet, "h") == "(not run)");
     }
 }
 
@@ -170,7 +170,7 @@
                                        keyed("q-" + std::to_string(index), "secret-b"));
         ++statuses[answer.status];
         if (answer.status == 429) {
-            CHECK(tenant_told(fleet, "q-" + std::to_string(index)) == "(not run)");
+            CHECK(tenant_named(fleet, "q-" + std::to_string(index)) == "(not run)");
             retry_after = std::stod(std::string(answer.fields.find("Retry-After").value_or("0")));
         }
     }
--- a/tests/process/links_test.cpp
+++ b/tests/process/links_test.cpp
@@ -74,7 +74,7 @@
     silent.toCallerSilent = true;
     linked.hops->setBehaviour (silent);
     linked.gossip->setBehaviour (silent);
-    // A few of the first may wait for an answer that doesn't come; they are repeated at the other server.
+    // A few of the first may wait for an answer that doesn't come; they are retried at the other server.
     CHECK (linked.serveMany ("silent-", 60) >= 57);
     linked.hops->setBehaviour ({});
     linked.gossip->setBehaviour ({});
--- a/tests/process/server_starts_test.cpp
+++ b/tests/process/server_starts_test.cpp
@@ -1,4 +1,4 @@
-/** Servers that come back under the name that they had, told apart by when they began. */
+/** Servers that come back under the name that they had, distinguished by when they began. */
 
 #include <catch2/catch.hpp>
 
@@ -12,7 +12,7 @@
 {
 
 constexpr unsigned statusOk = 200;
-/** A heartbeat, and the time in which its news reach the peers. */
+/** A heartbeat, and the time in which the record after it reaches the peers. */
 constexpr milliseconds settleTime{ 2'000 };
 
 /** Two machines of "front", one of "back". */
