--- a/Makefile
+++ b/Makefile
@@ -22,7 +22,7 @@
 
 # A whole deployment of `anisehold serve` on stand-ins: DEPLOYMENT=cooperative or brightwater.
 demo-table: build
-	$(BUILD)/anisehold-demo $(DEPLOYMENT)
+	$(BUILD)/anisehold-table_demo $(DEPLOYMENT)
 
 # The proofs one by one; scripts/prove.sh --without MECHANISM shows that they can fail.
 prove: build
--- a/bench/sidecar_demo.cpp
+++ b/demo/sidecar_demo.cpp
@@ -9,7 +9,7 @@
 
 #include "tests/support/sidecar_fleet.hpp"
 
-namespace anisehold::bench {
+namespace anisehold::demo {
 namespace {
 
 using testing::ClientRequest;
@@ -130,10 +130,10 @@
 }
 
 }  // namespace
-}  // namespace anisehold::bench
+}  // namespace anisehold::demo
 
 int main() {
-    const int status = anisehold::bench::run();
+    const int status = anisehold::demo::run();
     std::cout.flush();
     anisehold::net::exit_process(status);
 }
--- a/bench/demo.cpp
+++ b/demo/table_demo.cpp
@@ -7,7 +7,7 @@
 
 #include "tests/support/fleet.hpp"
 
-namespace anisehold::bench {
+namespace anisehold::demo {
 namespace {
 
 using nlohmann::json;
@@ -62,46 +62,66 @@
     return result.status == 0 ? to_milliseconds(TimePoint::clock::now() - started) : -1;
 }
 
-int run(const std::string& deployment) {
-    testing::FleetOptions options;
-    options.deployment = deployment;
-    testing::Fleet fleet(options);
-    if (!fleet.start()) {
-        std::cerr << "demo: the fleet did not come up; logs are in " << fleet.run_folder() << "\n";
-        return 1;
-    }
-    std::cout << "fleet: " << fleet.daemons().size() << " daemons, " << fleet.backends().size()
-              << " servers\n";
+std::string clients_of(std::size_t zone) {
+    return "clients-" + std::to_string(zone + 1);
+}
+
+void start_clients(testing::Fleet& fleet) {
     for (std::size_t zone = 0; zone < fleet.daemons().size(); ++zone) {
         // The clients of each zone call the zone's own daemon first.
         std::vector<std::size_t> order;
         for (std::size_t step = 0; step < fleet.daemons().size(); ++step) {
             order.push_back((zone + step) % fleet.daemons().size());
         }
-        fleet.start_load("clients-" + std::to_string(zone + 1),
-                         {"--rate", "100", "--duration-ms", kLoadMs, "--retries", "2"}, order);
+        fleet.start_load(clients_of(zone), {"--rate", "100", "--duration-ms", kLoadMs, "--retries", "2"},
+                         order);
     }
-    testing::Fleet::pause(seconds(2));
-    const auto in_force_ms = change_a_cell(fleet);
+}
+
+/// Waits for all clients; what became of their requests.
+json finish_clients(testing::Fleet& fleet) {
     json total{{"sent", 0}, {"whole", 0}, {"refused", 0}, {"failed", 0}, {"wrong", 0}};
     for (std::size_t zone = 0; zone < fleet.daemons().size(); ++zone) {
-        const auto result = fleet.finish_load("clients-" + std::to_string(zone + 1));
+        const auto result = fleet.finish_load(clients_of(zone));
         for (auto& [name, sum] : total.items()) {
             sum = sum.get<long long>() + result.value(name, 0LL);
         }
     }
-    const auto latency = measure_added_latency(fleet);
-    std::cout << "straight p50=" << std::lround(latency.straight_p50_us)
-              << "us p99=" << std::lround(latency.straight_p99_us)
-              << "us, through p50=" << std::lround(latency.through_p50_us)
-              << "us p99=" << std::lround(latency.through_p99_us) << "us\n";
-    bool stopped = true;
+    return total;
+}
+
+/// Stops all daemons as planned; false if one didn't end well in time.
+bool stop_daemons(testing::Fleet& fleet) {
     for (const auto& place : fleet.daemons()) {
         fleet.terminate(place.name);
     }
+    bool stopped = true;
     for (const auto& place : fleet.daemons()) {
         stopped = fleet.wait_for_exit(place.name, seconds(20)).value_or(1) == 0 && stopped;
     }
+    return stopped;
+}
+
+int run(const std::string& deployment) {
+    testing::FleetOptions options;
+    options.deployment = deployment;
+    testing::Fleet fleet(options);
+    if (!fleet.start()) {
+        std::cerr << "demo: the fleet did not come up; logs are in " << fleet.run_folder() << "\n";
+        return 1;
+    }
+    std::cout << "fleet: " << fleet.daemons().size() << " daemons, " << fleet.backends().size()
+              << " servers\n";
+    start_clients(fleet);
+    testing::Fleet::pause(seconds(2));
+    const auto in_force_ms = change_a_cell(fleet);
+    const auto total = finish_clients(fleet);
+    const auto latency = measure_added_latency(fleet);
+    std::cout << "straight p50=" << std::lround(latency.straight_p50_us)
+              << "us p99=" << std::lround(latency.straight_p99_us)
+              << "us, through p50=" << std::lround(latency.through_p50_us)
+              << "us p99=" << std::lround(latency.through_p99_us) << "us\n";
+    const bool stopped = stop_daemons(fleet);
     std::cout << "demo: sent=" << total["sent"] << " whole=" << total["whole"]
               << " refused=" << total["refused"] << " failed=" << total["failed"]
               << " wrong=" << total["wrong"] << " table_in_force_ms=" << in_force_ms
@@ -111,11 +131,11 @@
 }
 
 }  // namespace
-}  // namespace anisehold::bench
+}  // namespace anisehold::demo
 
 int main(int argc, char** argv) {
     anisehold::testing::Fleet::loop();
-    const int status = anisehold::bench::run(argc > 1 ? argv[1] : "cooperative");
+    const int status = anisehold::demo::run(argc > 1 ? argv[1] : "cooperative");
     std::cout.flush();
     anisehold::net::exit_process(status);
 }
--- a/scripts/check-platform-names.sh
+++ b/scripts/check-platform-names.sh
@@ -11,7 +11,7 @@
 
 found=0
 for name in "${names[@]}"; do
-    if grep -rnF "\"$name\"" src bench; then
+    if grep -rnF "\"$name\"" src demo; then
         echo "platform name outside platform/: $name"
         found=1
     fi
--- a/scripts/check-style.sh
+++ b/scripts/check-style.sh
@@ -5,7 +5,7 @@
 cd "$(dirname "$0")/.."
 build=${1:-build}
 
-mapfile -t sources < <(git ls-files --cached --others --exclude-standard 'src/*.[ch]pp' 'platform/*.[ch]pp' 'lab/*.[ch]pp' 'tests/*.[ch]pp' 'bench/*.[ch]pp' 'soak/*.[ch]pp')
+mapfile -t sources < <(git ls-files --cached --others --exclude-standard 'src/*.[ch]pp' 'platform/*.[ch]pp' 'lab/*.[ch]pp' 'tests/*.[ch]pp' 'demo/*.[ch]pp' 'soak/*.[ch]pp')
 clang-format --dry-run -Werror "${sources[@]}"
 echo "format: ${#sources[@]} files clean"
 
