--- a/src/admission/server_gate.cpp
+++ b/src/admission/server_gate.cpp
@@ -41,7 +41,6 @@
     decision.retry_after = std::max<Duration>(expected_wait(queue_.size()), retry_after::kLeastAtGate);
     if (now + wait + time_to_run() > call.deadline) {
         decision.verdict = GateVerdict::kRefused;
-        decision.refusal = ErrorKind::kOverloaded;
         return decision;
     }
     if (queue_.size() >= queue_capacity()) {
--- a/src/admission/server_gate.hpp
+++ b/src/admission/server_gate.hpp
@@ -15,7 +15,6 @@
 #include <vector>
 
 #include "admission/concurrency_limit.hpp"
-#include "protocol/error_kind.hpp"
 #include "protocol/time_types.hpp"
 
 namespace anisehold::admission {
@@ -37,7 +36,6 @@
 
 struct ArrivalDecision {
     GateVerdict verdict = GateVerdict::kAdmitted;
-    ErrorKind refusal = ErrorKind::kOverloaded;  ///< When refused.
     Duration retry_after{};                      ///< When refused: when a slot is expected to be free.
     std::optional<std::uint64_t> evicted;        ///< A waiting call that is refused in favour of this one.
     TimePoint give_up_at;  ///< When queued: latest moment at which it is still worth running.
--- a/src/claims/claim_tally.cpp
+++ b/src/claims/claim_tally.cpp
@@ -1,12 +1,9 @@
 #include "claims/claim_tally.hpp"
 
-#include <algorithm>
-
 namespace anisehold::claims {
 
 void ClaimTally::on_reply(const ClaimReply& reply) {
     ++answered_;
-    newest_epoch_ = std::max(newest_epoch_, reply.epoch);
     if (reply.verdict == ClaimVerdict::kGranted) {
         ++granted_;
     }
--- a/src/claims/claim_tally.hpp
+++ b/src/claims/claim_tally.hpp
@@ -2,9 +2,6 @@
 /// The claimant's side: counts the holders' answers.
 #pragma once
 
-#include <cstdint>
-#include <string>
-
 #include "claims/claim_types.hpp"
 #include "claims/holder_view.hpp"
 
@@ -29,15 +26,12 @@
     ClaimResult result() const;
     /// The claim that stands in the way, when the result is `kDuplicate`: the furthest known one.
     const ClaimReply& standing() const { return standing_; }
-    /// Newest epoch that a holder spoke of.
-    std::uint64_t newest_epoch() const { return newest_epoch_; }
 
   private:
     std::size_t holders_;
     std::size_t answered_ = 0;
     std::size_t granted_ = 0;
     std::size_t denied_ = 0;
-    std::uint64_t newest_epoch_ = 0;
     ClaimReply standing_;
 };
 
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -210,7 +210,7 @@
         return std::nullopt;
     }
     if (decision.verdict == admission::GateVerdict::kRefused) {
-        return CallResult::refusal(decision.refusal, call.service, decision.retry_after);
+        return CallResult::refusal(ErrorKind::kOverloaded, call.service, decision.retry_after);
     }
     context_.decisions.add(call.context.root_id, call.context.call_id, DecisionStep::kQueued, gate_call.row);
     const auto waiter = std::make_shared<Waiter>();
--- a/src/overload/root_limit.hpp
+++ b/src/overload/root_limit.hpp
@@ -21,13 +21,11 @@
 #include "overload/pressure_report.hpp"
 #include "overload/root_limit_state.hpp"
 #include "overload/row_reach.hpp"
+#include "overload/utilization.hpp"
 
 namespace anisehold::overload
 {
 
-/** Mean share of each service's slots that is taken, from 0 to 1, as its gates measure it. */
-using Utilizations = std::map<std::string, double>;
-
 /** An admitted share that a period's end moved, and what decided it. */
 struct AdmittedShareMove
 {
--- a/src/sidecar/local_gate.cpp
+++ b/src/sidecar/local_gate.cpp
@@ -266,7 +266,7 @@
         return std::nullopt;
     }
     if (decision.verdict == admission::GateVerdict::kRefused) {
-        return without_answer(HopOutcome::kNotSent, decision.refusal, decision.retry_after);
+        return without_answer(HopOutcome::kNotSent, ErrorKind::kOverloaded, decision.retry_after);
     }
     const auto waiter = std::make_shared<Waiter>();
     server.waiters[id] = waiter;
--- a/src/sidecar/peer_exchange.cpp
+++ b/src/sidecar/peer_exchange.cpp
@@ -33,7 +33,6 @@
 /// And the peers' counts are waited for so long; ways between zones take some milliseconds. Chosen, not
 /// measured.
 constexpr milliseconds kOnsetHearing{60};
-constexpr double kShareOfPercent = 0.01;
 
 /// "route/rank:share ..." with shares of two digits, for the log.
 std::string text_of(const std::map<std::string, double>& shares) {
@@ -136,23 +135,16 @@
 }
 
 overload::Utilizations PeerExchange::utilizations(TimePoint now) const {
-    std::map<std::string, double> taken;
-    std::map<std::string, double> slots;
+    std::map<std::string, overload::SlotCount> services;
     const auto add = [&](const membership::ServerRecord& server) {
-        // Slots of a server that fails are no capacity.
-        const double sound = kShareOfPercent * (100.0 - std::min(server.failed_percent, 100U));
-        taken[server.service] += sound * kShareOfPercent * server.busy_percent * server.limit;
-        slots[server.service] += sound * server.limit;
+        overload::addServer(services, server.service,
+                            {server.limit, server.busy_percent, server.failed_percent});
     };
     directory_.for_each_server(now, add);
     for (const auto& own : gate_.records(now)) {
         add(own);
     }
-    overload::Utilizations utilizations;
-    for (const auto& [service, count] : slots) {
-        utilizations[service] = count > 0 ? taken[service] / count : 0;
-    }
-    return utilizations;
+    return overload::utilizationsOf(services);
 }
 
 void PeerExchange::end_limit_period(TimePoint now) {
--- a/tests/unit/admission/server_gate_test.cpp
+++ b/tests/unit/admission/server_gate_test.cpp
@@ -108,7 +108,6 @@
     hurried.deadline = at_ms(150);
     const auto decision = gate.arrive(at_ms(100), hurried);
     CHECK(decision.verdict == GateVerdict::kRefused);
-    CHECK(decision.refusal == ErrorKind::kOverloaded);
     CHECK(decision.retry_after >= milliseconds(100));
 }
 
