--- /dev/null
+++ b/src/sidecar/gate_server.cpp
@@ -0,0 +1,106 @@
+#include "sidecar/gate_server.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace anisehold::sidecar {
+namespace {
+
+using hop::HopOutcome;
+
+/// Weight of a new sample in the average latency, as a divisor. Chosen, not measured.
+constexpr int kLatencyDivisor = 8;
+/// Weight of a new result in the share of failures, from 0 to 1. Chosen, not measured.
+constexpr double kFailureSample = 0.1;
+constexpr double kPercent = 100;
+
+void wake(GateServer& server, std::uint64_t run, bool admitted) {
+    const auto found = server.waiters.find(run);
+    if (found != server.waiters.end()) {
+        found->second->admitted = admitted;
+        found->second->decided.set();
+    }
+}
+
+}  // namespace
+
+std::optional<GateAnswer> wait_for_slot(GateServer& server, const GateRun& run) {
+    const auto now = TimePoint::clock::now();
+    admission::GateCall gate_call;
+    gate_call.id = run.id;
+    gate_call.priority = run.call.priority;
+    gate_call.root_started = now;
+    gate_call.deadline = run.deadline;
+    const auto decision = server.gate.arrive(now, gate_call);
+    if (decision.evicted) {
+        wake(server, *decision.evicted, false);
+    }
+    if (decision.verdict == admission::GateVerdict::kAdmitted) {
+        return std::nullopt;
+    }
+    if (decision.verdict == admission::GateVerdict::kRefused) {
+        return without_answer(HopOutcome::kNotSent, decision.refusal, decision.retry_after);
+    }
+    const auto waiter = std::make_shared<GateWaiter>();
+    server.waiters[run.id] = waiter;
+    {
+        const net::CancelSubscription subscription(run.cancel, [waiter] { waiter->decided.set(); });
+        if (!run.is_cancelled()) {
+            waiter->decided.wait_until(std::min<TimePoint>(decision.give_up_at, now + run.call.longest_wait));
+        }
+    }
+    server.waiters.erase(run.id);
+    if (waiter->admitted) {
+        return std::nullopt;
+    }
+    server.gate.abandon(run.id);
+    return without_answer(HopOutcome::kNotSent, ErrorKind::kQueueTimeout, decision.retry_after);
+}
+
+void free_slot(GateServer& server, TimePoint now, std::uint64_t run, admission::SampleOutcome sample) {
+    for (const auto admitted : server.gate.finish(now, run, sample, Duration::zero())) {
+        wake(server, admitted, true);
+    }
+}
+
+void note_end(GateServer& server, TimePoint started, TimePoint now, const GateAnswer& answer,
+              bool cancelled) {
+    const auto taken = now - started;
+    const bool good = is_good_answer(answer);
+    // A failure may come faster than any work; a request that was given up took at least that long.
+    if (good || (cancelled && taken > server.latency)) {
+        server.latency = server.latency == Duration::zero()
+                             ? taken
+                             : server.latency + (taken - server.latency) / kLatencyDivisor;
+    }
+    const auto& result = answer.result;
+    const bool held_back =
+        result.outcome == HopOutcome::kNotSent && result.error != ErrorKind::kConnectFailed;
+    // What failed for an overload below says nothing of this server.
+    if (cancelled || held_back || !result.overloaded_service.empty()) {
+        return;
+    }
+    selection::noteResult(server.failures, now, !good, kFailureSample);
+}
+
+void note_use(GateServer& server, TimePoint now) {
+    overload::noteValue(server.use, now, server.gate.load().in_flight);
+}
+
+void fill_load(const GateServer& server, hop::HopResult& result) {
+    const auto load = server.gate.load();
+    result.in_flight = load.in_flight;
+    result.queued = load.queued;
+    result.limit = load.limit;
+    result.failed_percent =
+        static_cast<unsigned>(kPercent * selection::shareOf(server.failures, TimePoint::clock::now()));
+    result.latency_us =
+        static_cast<unsigned>(std::chrono::duration_cast<std::chrono::microseconds>(server.latency).count());
+}
+
+unsigned busy_percent(const GateServer& server, TimePoint now) {
+    const double busy = overload::meanOf(server.use, now) / std::max(1U, server.gate.load().limit);
+    return static_cast<unsigned>(std::lround(busy * kPercent));
+}
+
+}  // namespace anisehold::sidecar
--- /dev/null
+++ b/src/sidecar/gate_servers.cpp
@@ -0,0 +1,154 @@
+#include "sidecar/gate_servers.hpp"
+
+#include <algorithm>
+
+#include "admission/policy/fixed_limit.hpp"
+#include "admission/policy/knee_limit.hpp"
+#include "observability/events.hpp"
+#include "sidecar/pool_limits.hpp"
+
+namespace anisehold::sidecar {
+namespace {
+
+using config::Mechanism;
+using observability::Event;
+using observability::log_event;
+using registration::RegistryChange;
+
+/// Heartbeats that a server may miss before it counts as gone. Chosen, not measured.
+constexpr int kMissedHeartbeats = 6;
+/// The same for one that was asked for its health: its next heartbeat is due within one interval.
+constexpr int kMissedHeartbeatsOfFound = 2;
+/// Waiting requests for each one that the gate's limit admits. A request makes several calls one after the
+/// other, so each wait must be short: with 4, each of five calls in sequence waited up to 100 ms, and what
+/// was admitted ran out of its 800 ms. 1.5 was chosen; it was measured only together with a slower rise of
+/// early refusal (failed requests of one recorded overload 848 -> 365 of 3,075).
+constexpr double kQueuePerLimit = 1.5;
+
+}  // namespace
+
+RegistryChange GateServers::on_registration(TimePoint now, const RegistrationCall& call) {
+    const auto& heartbeat = call.heartbeat;
+    const auto change = call.leaves ? registry_.on_leave(now, heartbeat.instance, heartbeat.born)
+                                    : registry_.on_heartbeat(now, heartbeat);
+    if (change == RegistryChange::kAppeared) {
+        // Nothing that was learned of an earlier start holds for this one.
+        servers_.erase(heartbeat.instance);
+    }
+    switch (change) {
+        case RegistryChange::kChanged:
+            resize_gate(heartbeat);
+            [[fallthrough]];
+        case RegistryChange::kAppeared:
+            log_event(Event::kServerRegistered, {{"server", heartbeat.instance},
+                                                 {"service", heartbeat.service},
+                                                 {"address", heartbeat.address.text()},
+                                                 {"slots", std::to_string(heartbeat.slots)},
+                                                 {"born", std::to_string(heartbeat.born.value)},
+                                                 {"sequence", std::to_string(heartbeat.sequence)}});
+            break;
+        case RegistryChange::kDraining:
+        case RegistryChange::kLeft:
+            log_event(Event::kServerLeaving, {{"server", heartbeat.instance},
+                                              {"service", heartbeat.service},
+                                              {"sequence", std::to_string(heartbeat.sequence)}});
+            break;
+        case RegistryChange::kNone:
+        case RegistryChange::kRefreshed:
+            break;
+    }
+    return change;
+}
+
+void GateServers::resize_gate(const registration::Heartbeat& heartbeat) {
+    const auto found = servers_.find(heartbeat.instance);
+    if (found != servers_.end()) {
+        found->second->gate.set_limit(make_limit(heartbeat.slots));
+    }
+}
+
+RegistryChange GateServers::on_found(TimePoint now, const registration::Heartbeat& found) {
+    const auto change = registry_.on_found(now, found);
+    if (change == RegistryChange::kAppeared) {
+        log_event(Event::kServerFound, {{"server", found.instance},
+                                        {"service", found.service},
+                                        {"address", found.address.text()},
+                                        {"slots", std::to_string(found.slots)}});
+    }
+    return change;
+}
+
+void GateServers::on_crash(const std::string& instance) {
+    // Its next start registers anew, maybe under the same id.
+    registry_.on_crash(instance);
+    servers_.erase(instance);
+}
+
+void GateServers::expire(TimePoint now) {
+    const auto interval = context_.settings.heartbeat_interval;
+    const auto silent =
+        registry_.expire(now, kMissedHeartbeats * interval, kMissedHeartbeatsOfFound * interval);
+    for (const auto& instance : silent) {
+        log_event(Event::kServerSilent, {{"server", instance}});
+    }
+    std::erase_if(servers_, [&](const auto& entry) {
+        return registry_.find_ready(entry.first) == nullptr && entry.second.use_count() == 1;
+    });
+}
+
+std::vector<membership::ServerRecord> GateServers::records(TimePoint now) const {
+    std::vector<membership::ServerRecord> records;
+    for (const auto& registered : registry_.ready_servers()) {
+        const auto& heartbeat = registered.heartbeat;
+        membership::ServerRecord record;
+        record.instance = heartbeat.instance;
+        record.service = heartbeat.service;
+        record.born = heartbeat.born.value;
+        record.slots = heartbeat.slots;
+        record.limit = heartbeat.slots;
+        record.cold_ms = static_cast<unsigned>(std::max(0LL, to_milliseconds(registered.cold_until - now)));
+        const auto found = servers_.find(heartbeat.instance);
+        if (found != servers_.end()) {
+            hop::HopResult load;
+            fill_load(*found->second, load);
+            record.in_flight = load.in_flight;
+            record.queued = load.queued;
+            record.limit = load.limit;
+            record.latency_us = load.latency_us;
+            record.failed_percent = load.failed_percent;
+            record.busy_percent = busy_percent(*found->second, now);
+        }
+        records.push_back(std::move(record));
+    }
+    return records;
+}
+
+admission::GateOptions GateServers::gate_options() const {
+    admission::GateOptions options;
+    options.queue_per_limit = kQueuePerLimit;
+    options.by_priority = context_.has(Mechanism::kPriorityAdmission);
+    return options;
+}
+
+std::unique_ptr<admission::ConcurrencyLimit> GateServers::make_limit(unsigned slots) const {
+    if (!context_.has(Mechanism::kGateLimit)) {
+        return std::make_unique<admission::FixedLimit>(slots);
+    }
+    return std::make_unique<admission::KneeLimit>(slots);
+}
+
+std::shared_ptr<GateServer> GateServers::find(const std::string& instance) {
+    const auto* registered = registry_.find_ready(instance);
+    if (registered == nullptr) {
+        return nullptr;
+    }
+    const auto& heartbeat = registered->heartbeat;
+    auto& server = servers_[instance];
+    if (!server) {
+        server = std::make_shared<GateServer>(make_limit(heartbeat.slots), context_.io, heartbeat.address,
+                                              server_pool_limits(), gate_options());
+    }
+    return server;
+}
+
+}  // namespace anisehold::sidecar
--- a/src/sidecar/hop_client.cpp
+++ b/src/sidecar/hop_client.cpp
@@ -1,28 +1,16 @@
 #include "sidecar/hop_client.hpp"
 
+#include "sidecar/pool_limits.hpp"
+
 namespace anisehold::sidecar {
 namespace {
 
 using hop::HopOutcome;
 
-constexpr std::size_t kMostConnections = 512;
-constexpr milliseconds kConnectTimeout{300};
-constexpr milliseconds kConnectionIdle{60'000};
-constexpr milliseconds kSilenceInBody{60'000};
-constexpr milliseconds kSilentPeer{3'000};
-/// How much longer than the request's own time the gate's answer is waited for.
+/// How much longer than the request's own time the gate's answer is waited for: longer than the gate itself
+/// waits for its server. Chosen, not measured.
 constexpr milliseconds kAnswerSlack{60};
 
-net::HttpPoolLimits pool_limits() {
-    net::HttpPoolLimits limits;
-    limits.connections = kMostConnections;
-    limits.connect_timeout_ms = kConnectTimeout;
-    limits.idle_timeout_ms = kConnectionIdle;
-    limits.body_timeout_ms = kSilenceInBody;
-    limits.silence_timeout_ms = kSilentPeer;
-    return limits;
-}
-
 GateAnswer failure_at(const hop::HopRequest& call, HopOutcome outcome, ErrorKind error) {
     auto answer = without_answer(outcome, error);
     answer.result.instance = call.instance;
@@ -48,7 +36,7 @@
                       connections.client->server() == server.call;
     if (!same) {
         connections.boot_id = server.boot_id;
-        connections.client = std::make_shared<net::HttpClient>(context_.io, server.call, pool_limits());
+        connections.client = std::make_shared<net::HttpClient>(context_.io, server.call, peer_pool_limits());
     }
     return connections.client;
 }
--- a/src/sidecar/local_gate.hpp
+++ b/src/sidecar/local_gate.hpp
@@ -1,129 +1,84 @@
 /// @file
-/// The gate of the server beside this daemon: registration, admission, and the exchange with the server.
+/// The gate of the server beside this daemon: decides on each request, and runs those that are admitted.
+///
+/// The questions are asked in this order. Each names the file of its rule, and the error kind that a refusal
+/// gives. What can be told at once comes before what is waited for, and the slot comes last: a request that
+/// holds one and doesn't run takes it from others.
+///
+///  1. Does the server take requests? registration/server_registry; `kNoBackend`.
+///  2. If the request is a suspect: is it its turn? suspects/suspect_slots; `kQueueTimeout`.
+///  3. Was it condemned meanwhile? suspects/crash_ledger; `kCrashesServers`. Asked before 2 gives its
+///  refusal.
+///  4. Can the server be connected to? connection/connect_backoff; `kConnectFailed`.
+///  5. Is there a slot, at once or soon? admission/server_gate; `kOverloaded`, `kQueueTimeout`.
+///  6. Does the server still take requests? registration/server_registry; `kNoBackend`.
+///  7. Is the caller still there? sidecar/server_exchange; `kCancelled`.
+///
+/// Then the server is sent the request. Of the questions, 2 and 5 block the request's fiber. A request that
+/// is refused here has not run, and the caller's daemon may try another server (sidecar/call_attempts).
 #pragma once
 
+#include <cstdint>
 #include <functional>
-#include <map>
-#include <memory>
 #include <optional>
 #include <string>
-#include <unordered_map>
-#include <vector>
 
-#include "admission/server_gate.hpp"
-#include "connection/connect_backoff.hpp"
-#include "connection/idle_limit.hpp"
 #include "hop/hop_header.hpp"
-#include "membership/peer_record.hpp"
-#include "net/fiber_event.hpp"
-#include "net/http_client.hpp"
-#include "overload/use_meter.hpp"
-#include "registration/server_registry.hpp"
-#include "selection/failure_share.hpp"
+#include "net/http_types.hpp"
 #include "sidecar/attempt_outcome.hpp"
 #include "sidecar/crash_exchange.hpp"
-#include "sidecar/crash_watch.hpp"
+#include "sidecar/gate_servers.hpp"
 #include "sidecar/sidecar_context.hpp"
-#include "sidecar/suspect_queue.hpp"
 
 namespace anisehold::sidecar {
 
-/// All requests for this machine's server pass here, so its state is known exactly.
+/// All requests for this machine's server pass here, so its state is known exactly. Owns the servers beside,
+/// and the counts of requests here. Crashes go to `CrashExchange`, runs and calls to the context's trackers.
 class LocalGate {
   public:
-    LocalGate(SidecarContext& context, CrashExchange& crashes) : context_(context), crashes_(crashes) {}
+    LocalGate(SidecarContext& context, CrashExchange& crashes)
+        : context_(context), crashes_(crashes), servers_(context) {}
 
     /// `listener` is called when the server beside has crashed.
     void set_crash_listener(std::function<void()> listener) { crash_listener_ = std::move(listener); }
 
     /// Runs a request at the server that `call` names, or refuses it. Blocks the fiber; meanwhile `progress`
-    /// tells whether the server may have been sent anything.
+    /// shows whether the server may have been sent anything.
     GateAnswer run(net::HttpRequest request, const hop::HopRequest& call, net::CancelSignal* cancel,
                    net::ExchangeProgress& progress);
 
-    registration::RegistryChange on_registration(TimePoint now, const RegistrationCall& call);
-    /// The server beside was asked for its health and is well.
-    registration::RegistryChange on_found(TimePoint now, const registration::Heartbeat& found);
-    /// Drops servers that fell silent; true if there were any.
-    bool expire(TimePoint now);
-
-    /// Whether the server beside is one of `service`; cheaper than `records`, which makes texts.
-    bool serves(const std::string& service) const { return registry_.serves(service); }
-    /// The servers that take requests, for peers.
-    std::vector<membership::ServerRecord> records(TimePoint now) const;
+    /// The servers beside: they register here, and peers are sent their state.
+    GateServers& servers() { return servers_; }
+    const GateServers& servers() const { return servers_; }
+    /// Requests that wait here or are at the server.
     std::size_t in_flight() const { return in_flight_; }
-    /// Share of the requests at the server that are repeats, or made by runs that are.
+    /// Share of the requests at the server that are retries, or made by runs that are; 0 to 1.
     double retry_share() const;
 
   private:
-    struct Waiter {
-        net::FiberEvent decided;
-        bool admitted = false;
-    };
-    struct Server {
-        Server(std::unique_ptr<admission::ConcurrencyLimit> limit, boost::asio::io_context& io,
-               const Endpoint& address, const net::HttpPoolLimits& pool,
-               const admission::GateOptions& options)
-            : gate(std::move(limit), options), client(io, address, pool), crash(io, client) {}
-
-        admission::ServerGate gate;
-        overload::UseMeter use;  ///< Of requests in flight.
-        net::HttpClient client;
-        CrashWatch crash;
-        SuspectQueue suspects;
-        std::unordered_map<std::uint64_t, std::shared_ptr<Waiter>> waiters;
-        Duration latency{};  ///< Moving average of answers.
-        selection::FailureShare failures;
-        connection::IdleLimit idle_limit;  ///< Of kept connections.
-        connection::ConnectBackoff backoff;
-    };
-
-    /// A server's slots are others than before.
-    void resize_gate(const registration::Heartbeat& heartbeat);
-    admission::GateOptions gate_options() const;
-    std::unique_ptr<admission::ConcurrencyLimit> make_limit(unsigned slots) const;
-    std::shared_ptr<Server> server_for(const registration::RegisteredServer& registered);
-    static std::optional<GateAnswer> wait_for_admission(Server& server, const hop::HopRequest& call,
-                                                        std::uint64_t id, TimePoint deadline,
-                                                        net::CancelSignal* cancel);
-    GateAnswer exchange(Server& server, net::HttpRequest& request, const hop::HopRequest& call,
-                        TimePoint deadline, net::CancelSignal* cancel, net::ExchangeProgress& progress);
-    /// Sends the request once. A kept connection that is lost before any answer teaches the limit of rest.
-    std::optional<net::HttpResponse> send_once(Server& server, net::HttpRequest& request,
-                                               const net::ExchangeOptions& options,
-                                               net::ExchangeProgress& progress, std::error_code& error) const;
-    /// The connection of a request broke: tells of the server's end, if that was the cause. Blocks the fiber.
-    void look_for_crash(Server& server, const hop::HopRequest& call);
-    /// The turn of a request that is a suspect, or what it is refused with. Blocks the fiber.
-    std::optional<SuspectQueue::Turn> take_turn(Server& server, const RequestIdentity& identity,
-                                                const hop::HopRequest& call, TimePoint arrived,
-                                                net::CancelSignal* cancel) const;
-    /// Runs a request that was admitted.
-    GateAnswer run_admitted(Server& server, std::uint64_t id, net::HttpRequest& request,
-                            const RequestIdentity& identity, const hop::HopRequest& call, TimePoint deadline,
-                            net::CancelSignal* cancel, net::ExchangeProgress& progress);
-    void note_use(Server& server, TimePoint now) const;
-    /// Takes in what the end of a request tells of the server.
-    static void observe(Server& server, TimePoint started, TimePoint now, const GateAnswer& answer,
-                        bool cancelled);
-    void finish(Server& server, std::uint64_t id, const std::string& instance, TimePoint started,
-                const GateAnswer& answer, bool cancelled);
-    /// A server that failed while calls of its machine were refused for overload has most likely failed for
-    /// that: its own load says nothing, and the work done for the request is lost.
-    void mark_overload_below(TimePoint started, GateAnswer& answer) const;
-    void fill_load(const Server& server, hop::HopResult& result) const;
-    void log(const std::string& request_id, const RequestDigest& digest, const hop::HopRequest& call,
-             const GateAnswer& answer, TimePoint arrived, Duration waited) const;
+    /// The turn of a request that is a suspect; nothing if it got none in time. Blocks the fiber.
+    std::optional<SuspectQueue::Turn> take_turn(GateServer& server, const GateRun& run) const;
+    /// What the request is refused with before it is admitted. Blocks the fiber.
+    std::optional<GateAnswer> admit(GateServer& server, const GateRun& run, bool has_turn) const;
+    /// Runs a request that was admitted, and frees its slot. Blocks the fiber.
+    GateAnswer run_admitted(GateServer& server, const GateRun& run, net::HttpRequest& request,
+                            TimePoint started);
+    /// Sends it to the server, and counts it as running meanwhile.
+    GateAnswer run_at_server(GateServer& server, const GateRun& run, net::HttpRequest& request);
+    /// The connection of a request broke: reports the server's crash, if that was the cause. Blocks the
+    /// fiber.
+    void look_for_crash(GateServer& server, const std::string& instance);
+    void finish(GateServer& server, const GateRun& run, TimePoint started, const GateAnswer& answer);
+    void log(const GateRun& run, const GateAnswer& answer, Duration waited) const;
 
     SidecarContext& context_;
     CrashExchange& crashes_;
+    GateServers servers_;
     std::function<void()> crash_listener_;
-    registration::ServerRegistry registry_;
-    std::map<std::string, std::shared_ptr<Server>> servers_;
     std::uint64_t next_id_ = 1;
     std::size_t in_flight_ = 0;
     unsigned running_ = 0;          ///< Requests at the server.
-    unsigned running_retries_ = 0;  ///< The sum of their `repeat_percent`.
+    unsigned running_retries_ = 0;  ///< The sum of their `retry_percent`.
 };
 
 }  // namespace anisehold::sidecar
--- a/src/sidecar/peer_exchange.cpp
+++ b/src/sidecar/peer_exchange.cpp
@@ -78,7 +78,7 @@
     record.client_routes = context_.origins.own_verdicts();
     context_.overload.measure_works();
     record.pressures = context_.overload.own_report();
-    record.servers = gate_.records(TimePoint::clock::now());
+    record.servers = gate_.servers().records(TimePoint::clock::now());
     return record;
 }
 
@@ -108,7 +108,7 @@
             boost::this_fiber::sleep_for(kOnsetHearing);
         }
         const auto now = TimePoint::clock::now();
-        gate_.expire(now);
+        gate_.servers().expire(now);
         directory_.expire(now);
         end_limit_period(now);
         // Half a near period early rather than half late.
@@ -141,7 +141,7 @@
         places[server.service] += sound * server.limit;
     };
     directory_.for_each_server(now, add);
-    for (const auto& own : gate_.records(now)) {
+    for (const auto& own : gate_.servers().records(now)) {
         add(own);
     }
     overload::ServiceUse uses;
--- a/src/sidecar/server_chooser.cpp
+++ b/src/sidecar/server_chooser.cpp
@@ -46,10 +46,10 @@
 membership::ServiceView ServerChooser::candidates(const std::string& service, TimePoint now) {
     auto view = directory_.servers_of(now, service);
     own_servers_.clear();
-    if (!gate_.serves(service)) {
+    if (!gate_.servers().serves(service)) {
         return view;
     }
-    for (auto& own : gate_.records(now)) {
+    for (auto& own : gate_.servers().records(now)) {
         if (own.service == service) {
             own_servers_.push_back({std::move(own), context_.settings.name, context_.settings.zone,
                                     context_.settings.hops, context_.boot_id, now});
--- a/src/sidecar/server_exchange.cpp
+++ b/src/sidecar/server_exchange.cpp
@@ -1,9 +1,8 @@
-/// @file
-/// The exchange of the gate with its server: sending a request once, and what its end tells of the server.
+#include "sidecar/server_exchange.hpp"
+
 #include <algorithm>
 
 #include "observability/events.hpp"
-#include "sidecar/local_gate.hpp"
 
 namespace anisehold::sidecar {
 namespace {
@@ -14,69 +13,38 @@
 using observability::log_event;
 
 /// A kept connection that breaks sooner than that after a request was sent had been forgotten by the server.
+/// Chosen, not measured.
 constexpr milliseconds kInstantLoss{20};
-/// A non-repeatable request isn't sent on a connection that rested longer: the server may be closing it.
+/// A non-repeatable request isn't sent on a connection that was idle longer: the server may be closing it.
+/// Chosen, not measured.
 constexpr milliseconds kFreshIdle{2'000};
 /// How much longer than the request's own time an answer is waited for, so that the server's own one wins.
+/// Chosen, not measured.
 constexpr milliseconds kAnswerSlack{20};
-/// Digests in one log line: 33 bytes each, and a server may have a hundred requests running when it ends.
-constexpr std::size_t kMostDigestsLogged = 32;
-
-}  // namespace
 
-GateAnswer LocalGate::exchange(Server& server, net::HttpRequest& request, const hop::HopRequest& call,
-                               TimePoint deadline, net::CancelSignal* cancel,
-                               net::ExchangeProgress& progress) {
-    if (cancel != nullptr && cancel->check()) {
-        return without_answer(HopOutcome::kNotSent, ErrorKind::kCancelled, Duration::zero());
-    }
-    const auto now = TimePoint::clock::now();
-    const auto request_id = context_.dialect.read_client_call(request).id;
-    const milliseconds time_left(std::max(1LL, to_milliseconds(deadline - now)));
-    context_.dialect.write_server_call(request, {call.instance, call.caller, time_left});
-    net::ExchangeOptions options{deadline + kAnswerSlack, cancel};
-    options.expected_echo = context_.dialect.echoed_field(request_id);
-    if (context_.has(Mechanism::kIdleLimit)) {
+net::ExchangeOptions options_for(const SidecarContext& context, const GateServer& server, const GateRun& run,
+                                 TimePoint now) {
+    net::ExchangeOptions options{run.deadline + kAnswerSlack, run.cancel};
+    options.expected_echo = context.dialect.echoed_field(run.request_id);
+    if (context.has(Mechanism::kIdleLimit)) {
         options.longest_idle = connection::longestIdle(server.idle_limit, now);
     }
-    if (call.at_most_once) {
+    if (run.call.at_most_once) {
         options.longest_idle = std::min<Duration>(options.longest_idle, kFreshIdle);
     }
-    // A connection that breaks at once may still have brought the request to the server: whether it is sent
-    // again is the ingress's choice, which counts repeats.
-    std::error_code error;
-    auto response = send_once(server, request, options, progress, error);
-    if (!response) {
-        if (!progress.request_started) {
-            return without_answer(HopOutcome::kNotSent, ErrorKind::kConnectFailed, Duration::zero());
-        }
-        const bool gave_up = cancel != nullptr && cancel->cancelled();
-        if (!gave_up && error != std::errc::timed_out) {
-            look_for_crash(server, call);
-        }
-        return without_answer(HopOutcome::kUnknown, ErrorKind::kBackendFailed, Duration::zero());
-    }
-    GateAnswer answer;
-    switch (context_.dialect.nature_of(*response)) {
-        case AnswerNature::kNotRun:
-            return without_answer(HopOutcome::kRefusedByServer, ErrorKind::kBackendRefused, server.latency);
-        case AnswerNature::kSpoiled:
-            return without_answer(HopOutcome::kUnknown, ErrorKind::kBackendFailed, Duration::zero());
-        case AnswerNature::kGenuine:
-            answer.result.outcome = HopOutcome::kAnswered;
-            answer.response = std::move(response);
-    }
-    return answer;
+    return options;
 }
 
-std::optional<net::HttpResponse> LocalGate::send_once(Server& server, net::HttpRequest& request,
-                                                      const net::ExchangeOptions& options,
-                                                      net::ExchangeProgress& progress,
-                                                      std::error_code& error) const {
+/// A connection that breaks at once may still have brought the request to the server: whether it is sent
+/// again is decided at the caller's daemon, which counts retries.
+std::optional<net::HttpResponse> send_once(GateServer& server, net::HttpRequest& request,
+                                           const net::ExchangeOptions& options, const GateRun& run,
+                                           std::error_code& error) {
     const auto sent = TimePoint::clock::now();
-    auto response = server.client.exchange(request, options, progress, error);
+    auto response = server.client.exchange(request, options, run.progress, error);
     const auto now = TimePoint::clock::now();
-    const bool cancelled = options.cancel != nullptr && options.cancel->cancelled();
+    const auto& progress = run.progress;
+    const bool cancelled = run.is_cancelled();
     if (progress.connected) {
         connection::noteConnected(server.backoff);
     } else if (!cancelled && error != std::errc::too_many_files_open) {
@@ -95,29 +63,40 @@
     return response;
 }
 
-void LocalGate::look_for_crash(Server& server, const hop::HopRequest& call) {
-    // One that said that it leaves ends as it should.
-    const auto* registered = registry_.find_ready(call.instance);
-    if (registered == nullptr || !server.crash.is_server_gone() || !server.crash.take_report()) {
-        return;
+GateAnswer answer_of(const SidecarContext& context, const GateServer& server, net::HttpResponse response) {
+    GateAnswer answer;
+    switch (context.dialect.nature_of(response)) {
+        case AnswerNature::kNotRun:
+            return without_answer(HopOutcome::kRefusedByServer, ErrorKind::kBackendRefused, server.latency);
+        case AnswerNature::kSpoiled:
+            return without_answer(HopOutcome::kUnknown, ErrorKind::kBackendFailed);
+        case AnswerNature::kGenuine:
+            answer.result.outcome = HopOutcome::kAnswered;
+            answer.response = std::move(response);
     }
-    const auto unanswered = server.crash.unanswered();
-    std::string digests;
-    for (std::size_t n = 0; n < std::min(unanswered.size(), kMostDigestsLogged); ++n) {
-        digests.append(n > 0 ? " " : "").append(unanswered[n].request.digest.text());
+    return answer;
+}
+
+}  // namespace
+
+ServerExchangeEnd exchange_with_server(const SidecarContext& context, GateServer& server,
+                                       net::HttpRequest& request, const GateRun& run) {
+    if (run.cancel != nullptr && run.cancel->check()) {
+        return {without_answer(HopOutcome::kNotSent, ErrorKind::kCancelled)};
+    }
+    const auto now = TimePoint::clock::now();
+    const milliseconds time_left(std::max(1LL, to_milliseconds(run.deadline - now)));
+    context.dialect.write_server_call(request, {run.call.instance, run.call.caller, time_left});
+    std::error_code error;
+    auto response = send_once(server, request, options_for(context, server, run, now), run, error);
+    if (response) {
+        return {answer_of(context, server, std::move(*response))};
     }
-    context_.metrics.count_server_crash(context_.settings.service);
-    crashes_.on_crash(unanswered);
-    // Its next start registers anew, maybe under the same id; nothing of this one holds for it.
-    registry_.on_crash(call.instance);
-    servers_.erase(call.instance);
-    if (crash_listener_) {
-        crash_listener_();
+    if (!run.progress.request_started) {
+        return {without_answer(HopOutcome::kNotSent, ErrorKind::kConnectFailed)};
     }
-    log_event(Event::kServerCrashed, {{"server", call.instance},
-                                      {"service", context_.settings.service},
-                                      {"running", std::to_string(unanswered.size())},
-                                      {"digests", digests}});
+    return {without_answer(HopOutcome::kUnknown, ErrorKind::kBackendFailed),
+            !run.is_cancelled() && error != std::errc::timed_out};
 }
 
 }  // namespace anisehold::sidecar
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -279,7 +279,7 @@
         constexpr unsigned bad_request = 400;
         return net::make_response(bad_request, kTextType, problem + "\n");
     }
-    const auto change = parts_->gate.on_registration(TimePoint::clock::now(), *call);
+    const auto change = parts_->gate.servers().on_registration(TimePoint::clock::now(), *call);
     if (change != RegistryChange::kNone && change != RegistryChange::kRefreshed) {
         parts_->peers.announce();
     }
@@ -303,7 +303,7 @@
         return net::make_response(kNotFound, kTextType, "not found\n");
     }
     const auto now = TimePoint::clock::now();
-    for (const auto& server : parts_->gate.records(now)) {
+    for (const auto& server : parts_->gate.servers().records(now)) {
         parts_->context.metrics.set_gate(server.instance, {server.in_flight, server.queued, server.limit});
     }
     parts_->context.metrics.set_members("alive", parts_->directory.reachable_count(now));
@@ -334,7 +334,8 @@
 
 void Sidecar::find_server() {
     const auto found = ask_server_beside(parts_->context, *parts_->configuration.current());
-    if (found && parts_->gate.on_found(TimePoint::clock::now(), *found) == RegistryChange::kAppeared) {
+    if (found &&
+        parts_->gate.servers().on_found(TimePoint::clock::now(), *found) == RegistryChange::kAppeared) {
         parts_->peers.announce();
     }
 }
