--- a/src/sidecar/peer_exchange.cpp
+++ b/src/sidecar/peer_exchange.cpp
@@ -72,9 +72,9 @@
     record.uptime_ms = static_cast<std::uint32_t>(to_milliseconds(TimePoint::clock::now() - opened_));
     record.call = settings.advertised_hops;
     record.gossip = settings.advertised_gossip;
-    record.leaving = context_.leaving;
+    record.leaving = context_.stop.is_leaving();
     record.configuration_version = configuration_.version();
-    record.watches_store = context_.watches_store;
+    record.watches_store = context_.store.watches();
     record.client_routes = context_.origins.own_verdicts();
     context_.overload.measure_works();
     record.pressures = context_.overload.own_report();
@@ -206,8 +206,8 @@
 void PeerExchange::fetch_configuration(const Endpoint& peer, std::uint64_t version) {
     if (configuration_.version() != 0) {
         const std::chrono::duration<double> spread = kFetchSpread * context_.random_unit();
-        boost::this_fiber::sleep_for(context_.watches_store ? Duration(kWatcherFetchPause)
-                                                            : std::chrono::duration_cast<Duration>(spread));
+        boost::this_fiber::sleep_for(context_.store.watches() ? Duration(kWatcherFetchPause)
+                                                              : std::chrono::duration_cast<Duration>(spread));
     }
     if (configuration_.version() < version) {
         net::HttpClient client(context_.io, peer);
--- a/src/sidecar/proof_keeper.cpp
+++ b/src/sidecar/proof_keeper.cpp
@@ -64,7 +64,7 @@
 }
 
 Duration ProofKeeper::own_read_age() const {
-    if (context_.watches_store) {
+    if (context_.store.watches()) {
         const std::chrono::duration<double> spread = kVoucherReadSpread * patience_;
         return kVoucherReadAge + std::chrono::duration_cast<Duration>(spread);
     }
@@ -85,7 +85,7 @@
         const bool read = read_once();
         patience_ = context_.random_unit();
         if (!read) {
-            const auto pause = context_.watches_store ? kVoucherRetry : kOwnRetry;
+            const auto pause = context_.store.watches() ? kVoucherRetry : kOwnRetry;
             const std::chrono::duration<double> jittered = pause * (0.5 + context_.random_unit());
             boost::this_fiber::sleep_for(std::chrono::duration_cast<Duration>(jittered));
         }
@@ -130,7 +130,7 @@
             ask_peer();
         }
         const std::chrono::duration<double> period =
-            (is_old || context_.watches_store ? kOldProofAskPeriod : kAskPeriod) *
+            (is_old || context_.store.watches() ? kOldProofAskPeriod : kAskPeriod) *
             (0.9 + 0.2 * context_.random_unit());
         boost::this_fiber::sleep_for(std::chrono::duration_cast<Duration>(period));
     }
@@ -149,7 +149,7 @@
                 vouchers.push_back(&member);
             }
         }
-        if (!vouchers.empty() && !is_old && !context_.watches_store) {
+        if (!vouchers.empty() && !is_old && !context_.store.watches()) {
             break;
         }
     }
--- a/src/sidecar/quota_exchange.cpp
+++ b/src/sidecar/quota_exchange.cpp
@@ -225,7 +225,7 @@
     const auto configuration = configuration_.current();
     const auto* terms = configuration ? tenancy::termsOf(configuration->keys, tenant) : nullptr;
     const auto owner = owner_of(now, tenant);
-    if (terms == nullptr || context_.leaving || !owner) {
+    if (terms == nullptr || context_.stop.is_leaving() || !owner) {
         return answer;
     }
     auto quota = terms->quota;
@@ -269,7 +269,7 @@
     std::vector<Endpoint> addresses;
     candidates.members = members.size() + 1;
     candidates.reachable = 1;
-    if (!context_.leaving) {
+    if (!context_.stop.is_leaving()) {
         candidates.names.push_back(context_.settings.name);
         addresses.push_back(context_.settings.advertised_gossip);
     }
@@ -301,7 +301,7 @@
 std::optional<QuotaExchange::Owner> QuotaExchange::owner_of(TimePoint now, const TenantName& tenant) {
     const auto& view = fleet(now);
     // A daemon that has just started and knows nobody isn't the whole fleet.
-    if (!context_.knows_fleet && now - started_ < kAloneAfter) {
+    if (!context_.store.has_listed() && now - started_ < kAloneAfter) {
         return std::nullopt;
     }
     const auto owner = tenancy::ownerOf(view.candidates, tenant);
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -182,13 +182,13 @@
 void Sidecar::stop() {
     auto& context = parts_->context;
     log_event(Event::kStopping, {{"in_flight", std::to_string(parts_->calls.requests_in_flight())}});
-    context.stopping = true;
+    context.stop.begin();
     parts_->calls.begin_closing();
     const auto began = TimePoint::clock::now();
     const auto grace_ends = began + context.settings.stop_grace - kStopMargin;
     // The server beside goes on serving the fleet while this machine's callers turn away.
     boost::this_fiber::sleep_for(std::min<Duration>(kLeaveAfter, context.settings.stop_grace / 3));
-    context.leaving = true;
+    context.stop.leave();
     parts_->peers.announce();
     parts_->hops.begin_closing();
     boost::this_fiber::sleep_for(std::min<Duration>(kTurnAwayRest, context.settings.stop_grace / 10));
@@ -219,9 +219,9 @@
 }
 
 bool Sidecar::is_ready() const {
-    const bool knows_peers = parts_->follower.has_listed() || parts_->directory.known_count() > 0 ||
+    const bool knows_peers = parts_->context.store.has_listed() || parts_->directory.known_count() > 0 ||
                              TimePoint::clock::now() - parts_->started > kAloneAfter;
-    return !parts_->context.stopping && parts_->configuration.version() != 0 && knows_peers;
+    return !parts_->context.stop.has_begun() && parts_->configuration.version() != 0 && knows_peers;
 }
 
 bool Sidecar::receive_message(std::string_view bytes) {
@@ -341,7 +341,7 @@
 }
 
 void Sidecar::watch_settings() {
-    while (!parts_->context.stopping) {
+    while (!parts_->context.stop.has_begun()) {
         boost::this_fiber::sleep_for(kSettingsPeriod);
         note_suspension();
         reload_settings();
--- a/src/sidecar/sidecar_context.hpp
+++ b/src/sidecar/sidecar_context.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What all parts of a sidecar share.
+/// What all parts of a sidecar share: settings, identity and tools of the process, and what some parts report
+/// for others to ask.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +12,8 @@
 #include "observability/metrics.hpp"
 #include "protocol/time_types.hpp"
 #include "sidecar/overload_tracker.hpp"
+#include "sidecar/stop_state.hpp"
+#include "sidecar/store_standing.hpp"
 #include "sidecar/wire_dialect.hpp"
 
 namespace boost::asio {
@@ -38,16 +41,18 @@
 
     boost::asio::io_context& io;
     const WireDialect& dialect;
-    config::SidecarSettings settings;  ///< As of the last reload.
+    config::SidecarSettings settings;  ///< As of the last reload, which alone writes them.
     observability::Metrics metrics;
     std::mt19937_64 random;
-    std::uint64_t boot_id = 0;
+    std::uint64_t boot_id = 0;  ///< Random at each start of the process.
+    /// Which routes clients call. Fed by the ingress, the gate and reports of peers.
     admission::OriginEstimator origins;
+    /// Which services are without capacity. Fed by the attempts, the gate and reports of peers.
     OverloadTracker overload;
-    bool stopping = false;       ///< A planned stop has begun; callers are asked to turn away.
-    bool leaving = false;        ///< Peers are told to send nothing more.
-    bool watches_store = false;  ///< This daemon has a working watch of the configuration.
-    bool knows_fleet = false;    ///< The list of members was read, or there is no way to it.
+    /// Whether a planned stop has begun. Moved by it alone.
+    StopState stop;
+    /// How this daemon stands with the store. Fed by `StoreFollower`'s parts.
+    StoreStanding store;
 
   private:
     static std::uint64_t seed() {
--- /dev/null
+++ b/src/sidecar/store_link.cpp
@@ -0,0 +1,45 @@
+#include "sidecar/store_link.hpp"
+
+#include <algorithm>
+#include <boost/fiber/operations.hpp>
+#include <string>
+
+#include "observability/events.hpp"
+
+namespace anisehold::sidecar {
+namespace {
+
+using observability::Event;
+using observability::log_event;
+using store::CallOutcome;
+
+/// The pause after a failure; it doubles with each further one. Chosen, not measured.
+constexpr milliseconds kFirstPause{100};
+constexpr unsigned kMostDoublings = 5;
+
+}  // namespace
+
+bool StoreLink::note(CallOutcome outcome, const char* purpose) {
+    const bool served = outcome != CallOutcome::kRefused && outcome != CallOutcome::kUnknown;
+    if (served != reachable_) {
+        reachable_ = served;
+        log_event(served ? Event::kStoreReachable : Event::kStoreUnreachable,
+                  {{"call", purpose}, {"outcome", std::string(store::call_outcome_name(outcome))}});
+    }
+    return served;
+}
+
+void StoreLink::note_unreadable(std::size_t count, const char* purpose) {
+    if (count > 0) {
+        log_event(Event::kStoreItemsRefused, {{"call", purpose}, {"count", std::to_string(count)}});
+    }
+}
+
+void StoreLink::pause(unsigned failures, milliseconds at_most) {
+    const auto longest = std::min(at_most, kFirstPause * (1U << std::min(failures, kMostDoublings)));
+    // From half of it to one and a half, so that daemons that failed together don't call together.
+    const auto jittered = std::chrono::duration_cast<Duration>(longest * (0.5 + context_.random_unit()));
+    boost::this_fiber::sleep_for(jittered);
+}
+
+}  // namespace anisehold::sidecar
