--- a/src/daemon/server_gates.cpp
+++ b/src/daemon/server_gates.cpp
@@ -95,7 +95,7 @@
         return std::nullopt;
     }
     if (decision.verdict == admission::GateVerdict::kRefused) {
-        return CallResult::refusal(decision.refusal, call.service, decision.retry_after);
+        return CallResult::refusal(ErrorKind::kOverloaded, call.service, decision.retry_after);
     }
     context_.decisions.add(call.context.root_id, call.context.call_id, observability::DecisionStep::kQueued,
                            gate_call.row);
