--- a/src/net/asio_scheduler.cpp
+++ b/src/net/asio_scheduler.cpp
@@ -8,7 +8,7 @@
 namespace anisehold::net {
 namespace {
 
-/// While fibers stay ready, the sockets are looked at once in this many switches.
+/// While fibers stay ready, the sockets are polled once in this many switches.
 constexpr unsigned kSwitchesPerPoll = 8;
 
 }  // namespace
--- a/src/net/asio_scheduler.hpp
+++ b/src/net/asio_scheduler.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// A round-robin fiber scheduler that waits inside an Asio context.
+/// A round-robin fiber scheduler that waits inside an Asio context. Owns the queue of ready fibers; the
+/// context is the event loop's.
 #pragma once
 
 #include <boost/asio/executor_work_guard.hpp>
--- a/src/net/beast_support.hpp
+++ b/src/net/beast_support.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What the Beast-based server and client share. Included only inside net/.
+/// What the Beast-based server and client share: which header lines are forwarded, and reading and writing of
+/// messages over a `TimedStream`. Included only inside net/.
 #pragma once
 
 #include <utility>
@@ -19,7 +20,10 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-/// Bytes moved at a time when a body is streamed.
+/// HTTP/1.1 as Beast counts versions.
+inline constexpr unsigned kHttp11 = 11;
+
+/// Bytes moved at a time when a body is streamed. Chosen, not measured.
 inline constexpr std::size_t kStreamChunkBytes = 16 * 1024;
 
 /// Whether a header line belongs to one connection and is never forwarded.
@@ -44,7 +48,7 @@
     return fields;
 }
 
-/// Room for a message as most are: its header and body come with one system call.
+/// Buffer for a message as most are, in bytes: its header and body come with one system call.
 inline constexpr std::size_t kReadBytes = 8 * 1024;
 
 /// Reads a header.
@@ -81,14 +85,15 @@
                       std::size_t limit, boost::system::error_code& error) {
     std::array<char, kStreamChunkBytes> chunk;
     while (!parser.is_done() && prefix.size() < limit && !error) {
-        const auto room = std::min(chunk.size(), limit - prefix.size());
-        const auto count = read_body_bytes(stream, buffer, parser, chunk.data(), room, error);
+        const auto wanted = std::min(chunk.size(), limit - prefix.size());
+        const auto count = read_body_bytes(stream, buffer, parser, chunk.data(), wanted, error);
         prefix.append(chunk.data(), count);
     }
 }
 
 /// Writes a message whose head is in `message`, with `body`. For streamed bodies each pause is bounded by
-/// `pause_ms`. On an error of the body's source, `source_error` is set and the message is left cut.
+/// `pause`; zero keeps the deadline that the stream has. On an error of the body's source, `source_error` is
+/// set and the message is left cut.
 template <bool IsRequest>
 void write_message(TimedStream& stream, http::message<IsRequest, http::buffer_body>& message, Body& body,
                    Duration pause, boost::system::error_code& error, std::error_code& source_error) {
--- a/src/net/connect_probe.hpp
+++ b/src/net/connect_probe.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds out whether anybody listens at an address.
+/// Finds out whether anybody listens at an address, by a connection that carries nothing.
 #pragma once
 
 #include "protocol/endpoint.hpp"
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -15,9 +15,10 @@
 namespace anisehold::net {
 namespace {
 
-/// Beast's parsers and a JSON parser run on fiber stacks; untouched pages cost no memory.
+/// Beast's parsers and a JSON parser run on fiber stacks; untouched pages cost no memory. Chosen, not
+/// measured.
 constexpr std::size_t kStackBytes = 256 * 1024;
-/// Stacks that are asked of the system at a time.
+/// Stacks that are taken from the system at a time. Chosen, not measured.
 constexpr std::size_t kStacksPerBlock = 8;
 
 }  // namespace
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// One thread that runs fibers and an Asio context together.
+/// One thread that runs fibers and an Asio context together. Owns the context, which lives as long as the
+/// process; relies on `AsioScheduler` for the order of fibers.
 #pragma once
 
 #include <functional>
--- a/src/net/frame_transport.cpp
+++ b/src/net/frame_transport.cpp
@@ -21,12 +21,16 @@
 using Stream = boost::beast::tcp_stream;
 using LengthBytes = std::array<unsigned char, 4>;
 
-/// How long a server keeps an idle connection, and how long it waits inside a frame.
+// Chosen, not measured, as all numbers here.
+/// How long a server keeps an idle connection.
 constexpr seconds kServerIdle{60};
-constexpr seconds kServerFrameTime{5};
-/// Clients drop idle connections before the server does.
+/// Longest time for writing a reply.
+constexpr seconds kReplyTime{5};
+/// How long a client keeps an idle connection: it must drop it before the server does.
 constexpr seconds kClientIdle{30};
+/// Most idle connections that a client keeps to one server.
 constexpr std::size_t kIdlePerServer = 4;
+/// Least time between two searches for expired idle connections.
 constexpr seconds kReapPeriod{10};
 
 boost::system::error_code write_frame(Stream& stream, std::string_view frame) {
@@ -88,7 +92,7 @@
                 return;
             }
             const auto reply = handler(frame);
-            stream.expires_after(kServerFrameTime);
+            stream.expires_after(kReplyTime);
             open = reply && !write_frame(stream, *reply);
         }
     }
--- a/src/net/frame_transport.hpp
+++ b/src/net/frame_transport.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Length-prefixed frames over TCP: one request, one reply, on kept connections.
+/// Length-prefixed frames over TCP: one request, one reply, on kept connections. What a frame holds is the
+/// caller's; larger ones than agreed are refused unread.
 #pragma once
 
 #include <functional>
@@ -29,7 +30,9 @@
     FrameServer(const FrameServer&) = delete;
     FrameServer& operator=(const FrameServer&) = delete;
 
+    /// Binds and starts accepting; on an error, the system's, nothing is listening.
     std::error_code start(const Endpoint& endpoint);
+    /// Accepts no new connection.
     void stop();
 
   private:
@@ -45,8 +48,9 @@
     FrameClient(const FrameClient&) = delete;
     FrameClient& operator=(const FrameClient&) = delete;
 
-    /// Sends a frame and waits for the reply. A request must be safe to repeat: if a kept connection proves
-    /// to be closed, it is sent once more over a new one.
+    /// Sends a frame and blocks the fiber until the reply. A request must be safe to send twice: if a kept
+    /// connection proves to be closed, it is sent once more over a new one. Nothing and the system's error,
+    /// or `timed_out`, if no reply came by `deadline`.
     std::optional<std::string> exchange(const Endpoint& server, std::string_view frame, TimePoint deadline,
                                         std::error_code& error);
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -1,12 +1,6 @@
-#include "net/beast_support.hpp"
+#include "net/http_connection_pool.hpp"
 // Beast comes first, see there.
-#include <netinet/tcp.h>
-#include <sys/socket.h>
-
-#include <algorithm>
-#include <boost/asio/ip/tcp.hpp>
 #include <charconv>
-#include <deque>
 #include <limits>
 
 #include "net/http_client.hpp"
@@ -15,190 +9,32 @@
 namespace anisehold::net {
 namespace {
 
-using Tcp = boost::asio::ip::tcp;
 using ResponseParser = http::response_parser<http::buffer_body>;
 
-struct Connection {
-    explicit Connection(boost::asio::io_context& io) : stream(io) {}
-
-    TimedStream stream;
-    beast::flat_buffer buffer;
-    TimePoint idle_since;
-    Duration longest_idle = Duration::max();  ///< As the server announced it.
-};
-
-/// Share of the announced rest after which a connection isn't used any more.
-constexpr double kRestMargin = 0.7;
+/// Share of the announced idle time after which a connection isn't used any more: the server counts from an
+/// earlier moment, and the next request is on its way for a time. Chosen, not measured.
+constexpr double kKeepAliveShare = 0.7;
 
-/// The rest that the server grants an idle connection: `Keep-Alive: timeout=SECONDS`.
-Duration announced_rest(beast::string_view keep_alive) {
+/// How long the server keeps an idle connection: `Keep-Alive: timeout=SECONDS`. Without a bound if it doesn't
+/// say so.
+Duration announced_idle_time(beast::string_view keep_alive) {
     constexpr beast::string_view name = "timeout=";
     const auto at = keep_alive.find(name);
     if (at == beast::string_view::npos) {
         return Duration::max();
     }
     const auto text = keep_alive.substr(at + name.size());
-    unsigned rest_s = 0;
-    if (std::from_chars(text.data(), text.data() + text.size(), rest_s).ec != std::errc{}) {
+    unsigned timeout_s = 0;
+    if (std::from_chars(text.data(), text.data() + text.size(), timeout_s).ec != std::errc{}) {
         return Duration::max();
     }
-    return std::chrono::duration_cast<Duration>(seconds(rest_s) * kRestMargin);
-}
-
-/// Makes the system give up a connection whose peer has fallen silent: after bytes that aren't acknowledged,
-/// and, if asked for, also while nothing is sent.
-void detect_silence(Tcp::socket& socket, const HttpPoolLimits& limits) {
-    if (limits.silence_timeout_ms == milliseconds::zero()) {
-        return;
-    }
-    const int timeout_ms = static_cast<int>(limits.silence_timeout_ms.count());
-    const int descriptor = socket.native_handle();
-    ::setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
-    if (!limits.probes_idle_connections) {
-        return;
-    }
-    constexpr int probe_interval_s = 1;
-    constexpr int probes = 2;
-    const int on = 1;
-    ::setsockopt(descriptor, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
-    ::setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, &probe_interval_s, sizeof probe_interval_s);
-    ::setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, &probe_interval_s, sizeof probe_interval_s);
-    ::setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
-}
-
-/// Whether an idle connection has been closed, or holds bytes that nobody asked for.
-bool is_stale(Connection& connection) {
-    char byte = 0;
-    const auto received =
-        ::recv(connection.stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    const bool silent = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    return !silent || connection.buffer.size() != 0;
+    return std::chrono::duration_cast<Duration>(seconds(timeout_s) * kKeepAliveShare);
 }
 
-}  // namespace
-
-struct HttpClient::State {
-    State(boost::asio::io_context& io, Endpoint server, HttpPoolLimits limits)
-        : io(io), server(std::move(server)), limits(limits) {}
-
-    std::unique_ptr<Connection> take_idle(TimePoint now, Duration longest_idle);
-    std::unique_ptr<Connection> connect(TimePoint deadline, std::error_code& error);
-    void give_back(std::unique_ptr<Connection> connection);
-    void discard(std::unique_ptr<Connection> connection);
-
-    boost::asio::io_context& io;
-    Endpoint server;
-    HttpPoolLimits limits;
-    std::deque<std::unique_ptr<Connection>> idle;
-    std::size_t open = 0;
-};
-
-std::unique_ptr<Connection> HttpClient::State::take_idle(TimePoint now, Duration longest_idle) {
-    while (!idle.empty()) {
-        // The most recently used first: the least likely to have been closed.
-        auto connection = std::move(idle.back());
-        idle.pop_back();
-        const auto rest =
-            std::min({longest_idle, connection->longest_idle, Duration(limits.idle_timeout_ms)});
-        const bool expired = now - connection->idle_since > rest;
-        if (limits.reuse_unclean || (!expired && !is_stale(*connection))) {
-            return connection;
-        }
-        discard(std::move(connection));
-    }
-    return nullptr;
-}
-
-std::unique_ptr<Connection> HttpClient::State::connect(TimePoint deadline, std::error_code& error) {
-    if (open >= limits.connections) {
-        error = std::make_error_code(std::errc::too_many_files_open);
-        return nullptr;
-    }
-    ++open;
-    auto connection = std::make_unique<Connection>(io);
-    const auto address = boost::asio::ip::make_address(server.ip);
-    const auto connect_deadline = std::min(deadline, TimePoint::clock::now() + limits.connect_timeout_ms);
-    connection->stream.writes_expire_at(connect_deadline);
-    const auto connect_error = connection->stream.connect(Tcp::endpoint(address, server.port));
-    if (connect_error) {
-        error = connect_error;
-        discard(std::move(connection));
-        return nullptr;
-    }
-    boost::system::error_code ignored;
-    connection->stream.socket().set_option(Tcp::no_delay(true), ignored);
-    detect_silence(connection->stream.socket(), limits);
-    return connection;
-}
-
-void HttpClient::State::give_back(std::unique_ptr<Connection> connection) {
-    if (connection->stream.is_aborted()) {
-        discard(std::move(connection));
-        return;
-    }
-    const auto now = TimePoint::clock::now();
-    connection->idle_since = now;
-    if (connection->buffer.size() == 0) {
-        connection->buffer.shrink_to_fit();
-    }
-    idle.push_back(std::move(connection));
-    while (now - idle.front()->idle_since > limits.idle_timeout_ms) {
-        auto expired = std::move(idle.front());
-        idle.pop_front();
-        discard(std::move(expired));
-    }
-}
-
-void HttpClient::State::discard(std::unique_ptr<Connection> connection) {
-    --open;
-    connection.reset();
-}
-
-namespace {
-
-/// Holds a connection for one exchange; returns it to the pool only when told that it is clean. An exchange
-/// that is given up resets its connection: a request that a broken link still holds back must not come to the
-/// peer later, when nobody waits for its answer.
-template <typename Pool>
-class ConnectionLease {
-  public:
-    ConnectionLease(std::shared_ptr<Pool> pool, std::unique_ptr<Connection> connection)
-        : pool_(std::move(pool)), connection_(std::move(connection)) {}
-    ~ConnectionLease() {
-        if (connection_ && pool_->limits.reuse_unclean) {
-            pool_->give_back(std::move(connection_));
-        }
-        if (connection_) {
-            if (!whole_) {
-                connection_->stream.reset();
-            }
-            pool_->discard(std::move(connection_));
-        }
-    }
-    ConnectionLease(ConnectionLease&&) noexcept = default;
-    ConnectionLease& operator=(ConnectionLease&&) = delete;
-
-    Connection& operator*() { return *connection_; }
-    Connection* operator->() { return connection_.get(); }
-    /// The answer has been read to its end.
-    void finish(bool reusable) {
-        whole_ = true;
-        if (connection_ && reusable) {
-            pool_->give_back(std::move(connection_));
-        }
-    }
-
-  private:
-    std::shared_ptr<Pool> pool_;
-    std::unique_ptr<Connection> connection_;
-    bool whole_ = false;
-};
-
 /// Reads the unbuffered rest of an answer and then returns the connection.
-template <typename Pool>
 class ResponseBodyReader final : public BodyReader {
   public:
-    ResponseBodyReader(ConnectionLease<Pool> lease, std::unique_ptr<ResponseParser> parser, Duration pause)
+    ResponseBodyReader(HttpConnectionLease lease, std::unique_ptr<ResponseParser> parser, Duration pause)
         : lease_(std::move(lease)), parser_(std::move(parser)), pause_(pause) {}
 
     std::size_t read(char* data, std::size_t size, std::error_code& error) override {
@@ -216,14 +52,14 @@
     }
 
   private:
-    ConnectionLease<Pool> lease_;
+    HttpConnectionLease lease_;
     std::unique_ptr<ResponseParser> parser_;
     Duration pause_;
 };
 
 http::request<http::buffer_body> request_head(const HttpRequest& request, const Endpoint& server) {
     http::request<http::buffer_body> message;
-    message.version(11);
+    message.version(kHttp11);
     message.method_string(request.method);
     message.target(request.target);
     for (const auto& field : request.fields) {
@@ -235,13 +71,71 @@
     return message;
 }
 
+std::error_code send_request(HttpConnection& connection, HttpRequest& request, const Endpoint& server) {
+    auto message = request_head(request, server);
+    boost::system::error_code io_error;
+    std::error_code source_error;
+    write_message(connection.stream, message, request.body, Duration::zero(), io_error, source_error);
+    return source_error ? source_error : std::error_code(io_error);
+}
+
+std::unique_ptr<ResponseParser> parser_for(const HttpRequest& request) {
+    auto parser = std::make_unique<ResponseParser>();
+    // Beast 1.74 takes "no limit" for a limit of zero where the length is declared.
+    parser->body_limit(std::numeric_limits<std::uint64_t>::max());
+    if (request.method == "HEAD") {
+        parser->skip(true);
+    }
+    return parser;
+}
+
+/// Reads the answer's header into `response`. An answer without the expected echo belongs to another request.
+std::error_code receive_header(HttpConnection& connection, ResponseParser& parser,
+                               const ExchangeOptions& options, ExchangeProgress& progress,
+                               HttpResponse& response) {
+    const auto error = read_header(connection.stream, connection.buffer, parser);
+    progress.answer_started = !error;
+    if (error) {
+        return error;
+    }
+    response.status = parser.get().result_int();
+    response.fields = copy_end_to_end_fields(parser.get());
+    response.peer_closes = !parser.keep_alive();
+    connection.longest_idle = announced_idle_time(parser.get()["Keep-Alive"]);
+    const auto& echo = options.expected_echo;
+    if (echo && response.fields.find(echo->name) != echo->value) {
+        return make_error_code(ErrorKind::kBackendFailed);
+    }
+    return {};
+}
+
+/// Reads up to `buffered_bytes` of the body. A longer one keeps the connection until it has been read.
+std::error_code receive_body(HttpConnectionLease& lease, std::unique_ptr<ResponseParser> parser,
+                             std::size_t buffered_bytes, Duration longest_pause, Body& body) {
+    boost::system::error_code error;
+    read_body_prefix(lease->stream, lease->buffer, *parser, body.prefix, buffered_bytes, error);
+    if (error) {
+        return error;
+    }
+    if (parser->is_done()) {
+        body.length = body.prefix.size();
+        lease.finish(parser->keep_alive());
+        return {};
+    }
+    if (parser->content_length()) {
+        body.length = *parser->content_length();
+    }
+    body.rest = std::make_unique<ResponseBodyReader>(std::move(lease), std::move(parser), longest_pause);
+    return {};
+}
+
 }  // namespace
 
 HttpClient::HttpClient(boost::asio::io_context& io, Endpoint server, HttpPoolLimits limits)
-    : state_(std::make_shared<State>(io, std::move(server), limits)) {}
+    : pool_(std::make_shared<HttpConnectionPool>(io, std::move(server), limits)) {}
 
 HttpClient::~HttpClient() {
-    state_->idle.clear();
+    pool_->close_idle();
 }
 
 std::optional<HttpResponse> HttpClient::exchange(HttpRequest& request, const ExchangeOptions& options,
@@ -258,19 +152,12 @@
 std::optional<HttpResponse> HttpClient::run_exchange(HttpRequest& request, const ExchangeOptions& options,
                                                      std::size_t buffered_bytes, ExchangeProgress& progress,
                                                      std::error_code& error) {
-    auto connection = state_->take_idle(TimePoint::clock::now(), options.longest_idle);
-    progress.connection_reused = connection != nullptr;
-    if (connection) {
-        progress.idle_for = TimePoint::clock::now() - connection->idle_since;
-    }
-    if (!connection) {
-        connection = state_->connect(options.deadline, error);
-    }
+    auto connection = pool_->acquire(options, progress, error);
     if (!connection) {
         return std::nullopt;
     }
     progress.connected = true;
-    ConnectionLease<State> lease(state_, std::move(connection));
+    HttpConnectionLease lease(pool_, std::move(connection));
     if (options.cancel != nullptr && options.cancel->cancelled()) {
         error = make_error_code(ErrorKind::kCancelled);
         return std::nullopt;
@@ -279,52 +166,21 @@
     lease->stream.reads_expire_at(options.deadline);
     lease->stream.writes_expire_at(options.deadline);
 
-    auto message = request_head(request, state_->server);
-    boost::system::error_code io_error;
-    std::error_code source_error;
     progress.request_started = true;
-    write_message(lease->stream, message, request.body, Duration::zero(), io_error, source_error);
-    if (io_error || source_error) {
-        error = source_error ? source_error : std::error_code(io_error);
-        return std::nullopt;
-    }
-
-    auto parser = std::make_unique<ResponseParser>();
-    // Beast 1.74 takes "no limit" for a limit of zero where the length is declared.
-    parser->body_limit(std::numeric_limits<std::uint64_t>::max());
-    if (request.method == "HEAD") {
-        parser->skip(true);
-    }
-    io_error = read_header(lease->stream, lease->buffer, *parser);
+    auto failure = send_request(*lease, request, pool_->server());
     HttpResponse response;
-    progress.answer_started = !io_error;
-    if (!io_error) {
-        response.status = parser->get().result_int();
-        response.fields = copy_end_to_end_fields(parser->get());
-        response.peer_closes = !parser->keep_alive();
-        lease->longest_idle = announced_rest(parser->get()["Keep-Alive"]);
-        if (options.expected_echo &&
-            response.fields.find(options.expected_echo->name) != options.expected_echo->value) {
-            error = make_error_code(ErrorKind::kBackendFailed);
-            return std::nullopt;
-        }
-        read_body_prefix(lease->stream, lease->buffer, *parser, response.body.prefix, buffered_bytes,
-                         io_error);
+    auto parser = parser_for(request);
+    if (!failure) {
+        failure = receive_header(*lease, *parser, options, progress, response);
     }
-    if (io_error) {
-        error = io_error;
-        return std::nullopt;
+    if (!failure) {
+        failure = receive_body(lease, std::move(parser), buffered_bytes, pool_->limits().body_timeout_ms,
+                               response.body);
     }
-    if (parser->is_done()) {
-        response.body.length = response.body.prefix.size();
-        lease.finish(parser->keep_alive());
-        return response;
-    }
-    if (parser->content_length()) {
-        response.body.length = *parser->content_length();
+    if (failure) {
+        error = failure;
+        return std::nullopt;
     }
-    response.body.rest = std::make_unique<ResponseBodyReader<State>>(std::move(lease), std::move(parser),
-                                                                     state_->limits.body_timeout_ms);
     return response;
 }
 
@@ -360,16 +216,15 @@
 }
 
 const Endpoint& HttpClient::server() const {
-    return state_->server;
+    return pool_->server();
 }
 
 bool HttpClient::has_live_idle_connection() const {
-    return std::any_of(state_->idle.begin(), state_->idle.end(),
-                       [](const auto& connection) { return !is_stale(*connection); });
+    return pool_->has_live_idle_connection();
 }
 
 std::size_t HttpClient::open_connections() const {
-    return state_->open;
+    return pool_->open_connections();
 }
 
 }  // namespace anisehold::net
--- /dev/null
+++ b/src/net/http_connection_pool.cpp
@@ -0,0 +1,143 @@
+#include "net/http_connection_pool.hpp"
+
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+
+namespace anisehold::net {
+namespace {
+
+using Tcp = boost::asio::ip::tcp;
+
+/// Makes the system give up a connection whose peer has fallen silent: after bytes that aren't acknowledged,
+/// and, if the limits say so, also while nothing is sent.
+void detect_silence(Tcp::socket& socket, const HttpPoolLimits& limits) {
+    if (limits.silence_timeout_ms == milliseconds::zero()) {
+        return;
+    }
+    const int timeout_ms = static_cast<int>(limits.silence_timeout_ms.count());
+    const int descriptor = socket.native_handle();
+    ::setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
+    if (!limits.probes_idle_connections) {
+        return;
+    }
+    // Chosen, not measured; the user time-out above ends the wait in any case.
+    constexpr int probe_interval_s = 1;
+    constexpr int probes = 2;
+    const int on = 1;
+    ::setsockopt(descriptor, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
+    ::setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, &probe_interval_s, sizeof probe_interval_s);
+    ::setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, &probe_interval_s, sizeof probe_interval_s);
+    ::setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
+}
+
+/// Whether an idle connection has been closed, or holds bytes that belong to no request.
+bool is_stale(HttpConnection& connection) {
+    char byte = 0;
+    const auto received =
+        ::recv(connection.stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    const bool silent = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    return !silent || connection.buffer.size() != 0;
+}
+
+}  // namespace
+
+std::unique_ptr<HttpConnection> HttpConnectionPool::acquire(const ExchangeOptions& options,
+                                                            ExchangeProgress& progress,
+                                                            std::error_code& error) {
+    auto connection = take_idle(TimePoint::clock::now(), options.longest_idle);
+    progress.connection_reused = connection != nullptr;
+    if (connection) {
+        progress.idle_for = TimePoint::clock::now() - connection->idle_since;
+        return connection;
+    }
+    return connect(options.deadline, error);
+}
+
+std::unique_ptr<HttpConnection> HttpConnectionPool::take_idle(TimePoint now, Duration longest_idle) {
+    while (!idle_.empty()) {
+        // The most recently used first: the least likely to have been closed.
+        auto connection = std::move(idle_.back());
+        idle_.pop_back();
+        const auto allowed =
+            std::min({longest_idle, connection->longest_idle, Duration(limits_.idle_timeout_ms)});
+        const bool expired = now - connection->idle_since > allowed;
+        if (limits_.reuse_unclean || (!expired && !is_stale(*connection))) {
+            return connection;
+        }
+        discard(std::move(connection));
+    }
+    return nullptr;
+}
+
+std::unique_ptr<HttpConnection> HttpConnectionPool::connect(TimePoint deadline, std::error_code& error) {
+    if (open_ >= limits_.connections) {
+        error = std::make_error_code(std::errc::too_many_files_open);
+        return nullptr;
+    }
+    ++open_;
+    auto connection = std::make_unique<HttpConnection>(io_);
+    const auto address = boost::asio::ip::make_address(server_.ip);
+    const auto connect_deadline = std::min(deadline, TimePoint::clock::now() + limits_.connect_timeout_ms);
+    connection->stream.writes_expire_at(connect_deadline);
+    const auto connect_error = connection->stream.connect(Tcp::endpoint(address, server_.port));
+    if (connect_error) {
+        error = connect_error;
+        discard(std::move(connection));
+        return nullptr;
+    }
+    boost::system::error_code ignored;
+    connection->stream.socket().set_option(Tcp::no_delay(true), ignored);
+    detect_silence(connection->stream.socket(), limits_);
+    return connection;
+}
+
+void HttpConnectionPool::give_back(std::unique_ptr<HttpConnection> connection) {
+    if (connection->stream.is_aborted()) {
+        discard(std::move(connection));
+        return;
+    }
+    const auto now = TimePoint::clock::now();
+    connection->idle_since = now;
+    if (connection->buffer.size() == 0) {
+        connection->buffer.shrink_to_fit();
+    }
+    idle_.push_back(std::move(connection));
+    while (now - idle_.front()->idle_since > limits_.idle_timeout_ms) {
+        auto expired = std::move(idle_.front());
+        idle_.pop_front();
+        discard(std::move(expired));
+    }
+}
+
+void HttpConnectionPool::discard(std::unique_ptr<HttpConnection> connection) {
+    --open_;
+    connection.reset();
+}
+
+bool HttpConnectionPool::has_live_idle_connection() const {
+    return std::any_of(idle_.begin(), idle_.end(),
+                       [](const auto& connection) { return !is_stale(*connection); });
+}
+
+HttpConnectionLease::~HttpConnectionLease() {
+    if (connection_ && pool_->limits().reuse_unclean) {
+        pool_->give_back(std::move(connection_));
+    }
+    if (connection_) {
+        if (!whole_) {
+            connection_->stream.reset();
+        }
+        pool_->discard(std::move(connection_));
+    }
+}
+
+void HttpConnectionLease::finish(bool reusable) {
+    whole_ = true;
+    if (connection_ && reusable) {
+        pool_->give_back(std::move(connection_));
+    }
+}
+
+}  // namespace anisehold::net
--- /dev/null
+++ b/src/net/http_server_connection.cpp
@@ -0,0 +1,288 @@
+#include "net/http_server_connection.hpp"
+
+#include <sys/socket.h>
+
+#include "net/event_loop.hpp"
+#include "net/fiber_event.hpp"
+
+namespace anisehold::net {
+namespace {
+
+using Tcp = boost::asio::ip::tcp;
+
+/// How long bytes that belong to no request are read off a connection after its last answer. Chosen, not
+/// measured.
+constexpr milliseconds kLingerTime{1'000};
+/// Most requests of one connection that are answered at the same time. Chosen, not measured.
+constexpr std::size_t kMostPipelined = 8;
+
+const boost::system::error_category& parse_category() {
+    return make_error_code(http::error::bad_method).category();
+}
+
+/// Which kind of rejection a failed read of a request calls for, if the sender deserves an answer at all.
+std::optional<ErrorKind> rejection_for(const boost::system::error_code& error, bool anything_received) {
+    if (error == http::error::header_limit) {
+        return ErrorKind::kHeaderTooLarge;
+    }
+    if (error == http::error::body_limit) {
+        return ErrorKind::kBodyTooLarge;
+    }
+    if (error == beast::error::timeout) {
+        return anything_received ? std::optional(ErrorKind::kSlowSender) : std::nullopt;
+    }
+    const bool is_parse_error = error.category() == parse_category();
+    if (is_parse_error && error != http::error::end_of_stream && error != http::error::partial_message) {
+        return ErrorKind::kBadRequest;
+    }
+    return std::nullopt;
+}
+
+}  // namespace
+
+/// One request on a connection and its place in the order of answers.
+struct HttpServerConnection::PendingExchange {
+    HttpRequest request;
+    CancelSignal cancel;
+    bool keep_alive = true;
+    unsigned version = kHttp11;
+    std::shared_ptr<PendingExchange> previous;
+    FiberEvent body_taken;  ///< Set when the handler no longer reads the request's body.
+    FiberEvent written;     ///< Set when the answer has left, or never will.
+};
+
+/// Reads the unbuffered rest of a request body.
+class HttpServerConnection::RequestBodyReader final : public BodyReader {
+  public:
+    RequestBodyReader(TimedStream& stream, beast::flat_buffer& buffer, RequestParser& parser, Duration pause)
+        : stream_(stream), buffer_(buffer), parser_(parser), pause_(pause) {}
+
+    std::size_t read(char* data, std::size_t size, std::error_code& error) override {
+        stream_.reads_expire_after(pause_);
+        boost::system::error_code read_error;
+        const auto count = read_body_bytes(stream_, buffer_, parser_, data, size, read_error);
+        error = read_error;
+        return count;
+    }
+
+  private:
+    TimedStream& stream_;
+    beast::flat_buffer& buffer_;
+    RequestParser& parser_;
+    Duration pause_;
+};
+
+void HttpServerConnection::serve() {
+    boost::system::error_code ignored;
+    stream_.socket().set_option(Tcp::no_delay(true), ignored);
+    bool reading = true;
+    while (reading) {
+        reading = wait_for_request() && read_request();
+    }
+    discard_until_closed();
+    wait_until_written(last_);
+    close_sending();
+}
+
+bool HttpServerConnection::wait_for_request() {
+    if (open_exchanges_.size() >= kMostPipelined) {
+        wait_until_written(open_exchanges_.front());
+    }
+    if (buffer_.size() > 0) {
+        return true;
+    }
+    waiting_for_request_ = true;
+    buffer_.shrink_to_fit();
+    stream_.reads_expire_never();
+    const auto error = stream_.wait_readable();
+    waiting_for_request_ = false;
+    return !error && !answers_closed_;
+}
+
+bool HttpServerConnection::read_request() {
+    RequestParser parser;
+    auto exchange = std::make_shared<PendingExchange>();
+    if (const auto error = receive(parser, exchange->request)) {
+        stop_reading(error, parser.got_some());
+        return false;
+    }
+    exchange->keep_alive = parser.keep_alive();
+    exchange->version = parser.get().version();
+    const bool whole = parser.is_done();
+    auto& body = exchange->request.body;
+    if (whole) {
+        body.length = body.prefix.size();
+    } else {
+        body.rest =
+            std::make_unique<RequestBodyReader>(stream_, buffer_, parser, server_->limits.body_timeout_ms);
+    }
+    start_answer(exchange);
+    if (!whole) {
+        // The parser lives on this fiber's stack: the body must be done with before the next request.
+        exchange->body_taken.wait();
+        exchange->keep_alive = exchange->keep_alive && parser.is_done();
+        if (!parser.is_done()) {
+            return false;
+        }
+    }
+    return exchange->keep_alive;
+}
+
+/// Reads the header and up to `kBufferedBodyBytes` of the body.
+boost::system::error_code HttpServerConnection::receive(RequestParser& parser, HttpRequest& request) {
+    const auto& limits = server_->limits;
+    parser.header_limit(static_cast<std::uint32_t>(limits.header_bytes));
+    parser.body_limit(limits.body_bytes);
+    stream_.reads_expire_after(limits.header_timeout_ms);
+    auto error = read_header(stream_, buffer_, parser);
+    if (error) {
+        return error;
+    }
+    request.method = std::string(parser.get().method_string());
+    request.target = std::string(parser.get().target());
+    request.fields = copy_end_to_end_fields(parser.get());
+    if (parser.content_length()) {
+        request.body.length = *parser.content_length();
+    }
+    stream_.reads_expire_after(limits.body_timeout_ms);
+    if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
+        http::response<http::empty_body> go_on(http::status::continue_, parser.get().version());
+        stream_.complete_write([&](auto& ec) { http::write(stream_.socket(), go_on, ec); });
+    }
+    read_body_prefix(stream_, buffer_, parser, request.body.prefix, kBufferedBodyBytes, error);
+    return error;
+}
+
+/// Answers a request that couldn't be read, or cancels the open ones if the peer has left.
+void HttpServerConnection::stop_reading(const boost::system::error_code& error, bool anything_received) {
+    const bool ended = error == http::error::end_of_stream || error.category() != parse_category();
+    const auto kind = rejection_for(error, anything_received);
+    if (kind) {
+        reject(*kind);
+    } else if (ended) {
+        cancel_all();
+    }
+}
+
+void HttpServerConnection::start_answer(const std::shared_ptr<PendingExchange>& exchange) {
+    exchange->previous = last_;
+    // The fiber that handles the request keeps the connection.
+    exchange->cancel.set_probe([this] { return has_ended(); });
+    last_ = exchange;
+    open_exchanges_.push_back(exchange);
+    ++server_->in_flight;
+    EventLoop::spawn([self = shared_from_this(), exchange] { self->answer(exchange); });
+}
+
+void HttpServerConnection::answer(const std::shared_ptr<PendingExchange>& exchange) {
+    HttpResponse response = server_->handlers.handle(exchange->request, exchange->cancel);
+    const bool body_left = !exchange->request.body.whole();
+    exchange->request.body.rest.reset();
+    exchange->body_taken.set();
+    wait_until_written(std::move(exchange->previous));
+    const bool keep_alive = exchange->keep_alive && !server_->closing && !body_left;
+    const bool writable = !peer_gone_ && !answers_closed_;
+    const bool written = writable && write_response(response, exchange->version, keep_alive);
+    if (!written || !keep_alive) {
+        answers_closed_ = true;
+        close_sending();
+        stream_.cancel();
+    }
+    finish(exchange);
+}
+
+void HttpServerConnection::finish(const std::shared_ptr<PendingExchange>& exchange) {
+    --server_->in_flight;
+    std::erase(open_exchanges_, exchange);
+    if (last_ == exchange) {
+        last_.reset();
+    }
+    idle_since_ = TimePoint::clock::now();
+    exchange->written.set();
+}
+
+/// Bytes that come now belong to no request. Reading them shows when the peer leaves, and keeps their arrival
+/// from destroying an answer that is still on its way.
+void HttpServerConnection::discard_until_closed() {
+    std::array<char, kStreamChunkBytes> scratch;
+    while (!peer_gone_) {
+        const bool lingering = answers_closed_ || open_exchanges_.empty();
+        if (lingering) {
+            close_sending();
+            stream_.reads_expire_after(kLingerTime);
+        } else {
+            stream_.reads_expire_never();
+        }
+        const auto error = stream_.complete_read(
+            [&](auto& ec) { stream_.socket().read_some(boost::asio::buffer(scratch), ec); });
+        const bool answers_just_closed = !lingering && answers_closed_;
+        if (error && !answers_just_closed) {
+            cancel_all();
+        }
+    }
+}
+
+void HttpServerConnection::reject(ErrorKind kind) {
+    wait_until_written(last_);
+    // A sender that was too slow may still read the answer.
+    auto response = server_->handlers.reject(kind);
+    write_response(response, kHttp11, false);
+    answers_closed_ = true;
+}
+
+bool HttpServerConnection::write_response(HttpResponse& response, unsigned version, bool keep_alive) {
+    http::response<http::buffer_body> message;
+    message.version(static_cast<int>(version));
+    message.result(response.status);
+    for (const auto& field : response.fields) {
+        message.insert(field.name, field.value);
+    }
+    message.keep_alive(keep_alive);
+    boost::system::error_code error;
+    std::error_code source_error;
+    const auto longest_pause = server_->limits.body_timeout_ms;
+    stream_.writes_expire_after(longest_pause);
+    write_message(stream_, message, response.body, longest_pause, error, source_error);
+    return !error && !source_error;
+}
+
+void HttpServerConnection::close_sending() {
+    boost::system::error_code ignored;
+    stream_.socket().shutdown(Tcp::socket::shutdown_send, ignored);
+}
+
+void HttpServerConnection::close() {
+    boost::system::error_code ignored;
+    stream_.socket().shutdown(Tcp::socket::shutdown_both, ignored);
+}
+
+void HttpServerConnection::reset() {
+    cancel_all();
+    stream_.reset();
+}
+
+/// Whether the peer has ended the connection, though that may not have been read yet.
+bool HttpServerConnection::has_ended() {
+    char byte = 0;
+    const auto got = ::recv(stream_.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    const bool would_wait = got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+    return got <= 0 && !would_wait;
+}
+
+void HttpServerConnection::cancel_all() {
+    peer_gone_ = true;
+    const auto exchanges = open_exchanges_;
+    for (const auto& exchange : exchanges) {
+        exchange->cancel.cancel();
+    }
+}
+
+/// Waits for the end of an exchange, if there is one. Takes a share of it: its owners let go of it as it
+/// ends.
+void HttpServerConnection::wait_until_written(std::shared_ptr<PendingExchange> exchange) {
+    if (exchange) {
+        exchange->written.wait();
+    }
+}
+
+}  // namespace anisehold::net
--- /dev/null
+++ b/src/net/http_server_connection.hpp
@@ -0,0 +1,72 @@
+/// @file
+/// One accepted connection of an `HttpServer`: a reader fiber takes requests off it, and each request has a
+/// fiber of its own that answers it. Owns the socket and the order of answers; what is accepted and how it is
+/// answered is the server's. Included only inside net/.
+#pragma once
+
+#include "net/beast_support.hpp"
+// Beast comes first, see there.
+#include <deque>
+#include <memory>
+
+#include "net/http_server.hpp"
+
+namespace anisehold::net {
+
+/// What the connections of one server share.
+struct HttpServerShared {
+    HttpServerLimits limits;
+    HttpServerHandlers handlers;
+    bool closing = false;       ///< Answers close their connection.
+    std::size_t in_flight = 0;  ///< Requests being answered, of all connections.
+};
+
+class HttpServerConnection : public std::enable_shared_from_this<HttpServerConnection> {
+  public:
+    HttpServerConnection(boost::asio::ip::tcp::socket socket, std::shared_ptr<HttpServerShared> server)
+        : server_(std::move(server)), stream_(std::move(socket)) {}
+
+    /// Reads requests and has them answered until the connection ends; blocks the fiber for that long.
+    void serve();
+
+    /// Whether no request is being read or answered.
+    bool is_idle() const { return open_exchanges_.empty() && waiting_for_request_; }
+    TimePoint idle_since() const { return idle_since_; }
+    /// Closes both directions; for an idle connection.
+    void close();
+    /// Cancels all requests and ends the connection with a reset.
+    void reset();
+
+  private:
+    using RequestParser = http::request_parser<http::buffer_body>;
+
+    struct PendingExchange;
+    class RequestBodyReader;
+
+    bool wait_for_request();
+    bool read_request();
+    boost::system::error_code receive(RequestParser& parser, HttpRequest& request);
+    void stop_reading(const boost::system::error_code& error, bool anything_received);
+    void start_answer(const std::shared_ptr<PendingExchange>& exchange);
+    void answer(const std::shared_ptr<PendingExchange>& exchange);
+    void finish(const std::shared_ptr<PendingExchange>& exchange);
+    void discard_until_closed();
+    void reject(ErrorKind kind);
+    bool write_response(HttpResponse& response, unsigned version, bool keep_alive);
+    void close_sending();
+    bool has_ended();
+    void cancel_all();
+    static void wait_until_written(std::shared_ptr<PendingExchange> exchange);
+
+    std::shared_ptr<HttpServerShared> server_;
+    TimedStream stream_;
+    beast::flat_buffer buffer_;
+    std::deque<std::shared_ptr<PendingExchange>> open_exchanges_;
+    std::shared_ptr<PendingExchange> last_;  ///< The latest exchange, while its answer isn't written.
+    TimePoint idle_since_ = TimePoint::clock::now();
+    bool waiting_for_request_ = false;
+    bool peer_gone_ = false;
+    bool answers_closed_ = false;  ///< An answer that closes the connection was written.
+};
+
+}  // namespace anisehold::net
--- a/src/net/http_types.hpp
+++ b/src/net/http_types.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// HTTP requests and responses as the rest of the code sees them; Beast stays inside net/.
+/// HTTP requests and responses as the rest of the code sees them, and the signal that a caller has gone.
+/// Beast stays inside net/. Plain values: what the bytes on the wire are is the client's and the server's.
 #pragma once
 
 #include <cstdint>
@@ -51,7 +52,7 @@
     return status >= first_server_error;
 }
 
-/// A message body: what was buffered, and a reader for the rest of a large one.
+/// A message body: what was buffered, and a reader for what remains of a large one.
 struct Body {
     std::string prefix;
     std::unique_ptr<BodyReader> rest;     ///< Null when `prefix` is the whole body.
@@ -60,7 +61,8 @@
     bool whole() const { return !rest; }
 };
 
-/// Bodies up to this size are buffered whole, checked for length and may be sent again.
+/// Bodies up to this size, in bytes, are buffered whole, checked for length and may be sent again. Chosen,
+/// not measured.
 inline constexpr std::size_t kBufferedBodyBytes = 64 * 1024;
 
 struct HttpRequest {
@@ -83,7 +85,7 @@
 /// A request with a small body.
 HttpRequest make_request(std::string method, std::string target, std::string body = {});
 
-/// Tells the holder of a call that its caller has gone away.
+/// Reports to the holder of a call that its caller has gone away. For one thread.
 class CancelSignal {
   public:
     using Callback = std::function<void()>;
@@ -94,10 +96,10 @@
     /// Sets the one callback, or clears it with an empty function.
     void on_cancel(Callback callback) { callback_ = std::move(callback); }
 
-    /// Sets what tells at once whether the caller has gone; it must hold as long as the signal is used.
+    /// Sets a check whether the caller has gone; it must stay valid as long as the signal is used.
     void set_probe(std::function<bool()> caller_has_gone) { caller_has_gone_ = std::move(caller_has_gone); }
-    /// Looks whether the caller has gone, and cancels if so: a process that is short of time reads the end of
-    /// a connection late, after a request that came on it. Returns whether the signal is cancelled.
+    /// Checks whether the caller has gone, and cancels if so: a process that is short of time reads the end
+    /// of a connection late, after a request that came on it. Returns whether the signal is cancelled.
     bool check() {
         if (!cancelled_ && caller_has_gone_ && caller_has_gone_()) {
             cancel();
--- a/src/net/udp_socket.cpp
+++ b/src/net/udp_socket.cpp
@@ -13,6 +13,7 @@
 namespace {
 
 using Udp = boost::asio::ip::udp;
+/// UDP carries no more, in bytes.
 constexpr std::size_t kLargestDatagram = 64 * 1024;
 
 }  // namespace
--- a/src/net/udp_socket.hpp
+++ b/src/net/udp_socket.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A UDP socket for fibers.
+/// A UDP socket for fibers. Datagrams may be lost on any way; what they hold is the caller's.
 #pragma once
 
 #include <functional>
@@ -26,7 +26,7 @@
     UdpSocket(const UdpSocket&) = delete;
     UdpSocket& operator=(const UdpSocket&) = delete;
 
-    /// Binds and starts receiving. The receiver must not block its fiber.
+    /// Binds and starts receiving; the error is the system's. The receiver must not block its fiber.
     std::error_code start(const Endpoint& endpoint, Receiver receiver);
     /// Sends at once; a datagram that the system can't take is dropped.
     void send(const Endpoint& to, std::string_view bytes);
