--- a/src/cli/sidecar_command.cpp
+++ b/src/cli/sidecar_command.cpp
@@ -32,7 +32,7 @@
     // A changed settings file is noticed without a signal; the signal must only do no harm.
     std::signal(SIGHUP, SIG_IGN);
     net::EventLoop loop;
-    observability::start_logging(settings.log_level, "json", settings.name,
+    observability::start_logging(config::SidecarSettings::kLogLevel, "json", settings.name,
                                  observability::LogOutput::kStandardOutput);
     observability::set_log_scheduler(flush_log_later);
     const platform::Dialect dialect;
--- a/src/config/mechanisms.cpp
+++ b/src/config/mechanisms.cpp
@@ -1,59 +1,63 @@
 #include "config/mechanisms.hpp"
 
+#include <algorithm>
 #include <array>
 
 namespace anisehold::config {
 namespace {
 
-constexpr std::array<std::string_view, static_cast<std::size_t>(Mechanism::kCount)> kNames{
-    "retry-escrow",
-    "priority-admission",
-    "early-refusal",
-    "gate-limit",
-    "connection-hygiene",
-    "outcome-truth",
-    "claims",
-    "claim-abstention",
-    "leaving-detection",
-    "drain",
-    "revision-order",
-    "peer-spread",
-    "fleet-counts",
-    "onset-reports",
-    "retry-after-spread",
-    "hedging",
-    "repeats",
-    "usual-servers",
-    "zone-preference",
-    "cold-servers",
-    "failing-servers",
-    "reach-limit",
-    "rest-limit",
-    "server-probe",
-    "server-wait",
-    "key-proof",
-    "quotas"};
+struct Entry {
+    Mechanism mechanism;
+    std::string_view name;
+};
+
+/// In the order of the enum.
+constexpr std::array kEntries{Entry{Mechanism::kRetryEscrow, "retry-escrow"},
+                              Entry{Mechanism::kPriorityAdmission, "priority-admission"},
+                              Entry{Mechanism::kEarlyRefusal, "early-refusal"},
+                              Entry{Mechanism::kGateLimit, "gate-limit"},
+                              Entry{Mechanism::kConnectionHygiene, "connection-hygiene"},
+                              Entry{Mechanism::kOutcomeTruth, "outcome-truth"},
+                              Entry{Mechanism::kClaims, "claims"},
+                              Entry{Mechanism::kClaimAbstention, "claim-abstention"},
+                              Entry{Mechanism::kLeavingDetection, "leaving-detection"},
+                              Entry{Mechanism::kDrain, "drain"},
+                              Entry{Mechanism::kRevisionOrder, "revision-order"},
+                              Entry{Mechanism::kPeerSpread, "peer-spread"},
+                              Entry{Mechanism::kFleetCounts, "fleet-counts"},
+                              Entry{Mechanism::kOnsetReports, "onset-reports"},
+                              Entry{Mechanism::kRetryAfterSpread, "retry-after-spread"},
+                              Entry{Mechanism::kHedging, "hedging"},
+                              Entry{Mechanism::kRetries, "repeats"},
+                              Entry{Mechanism::kUsualServers, "usual-servers"},
+                              Entry{Mechanism::kZonePreference, "zone-preference"},
+                              Entry{Mechanism::kColdServers, "cold-servers"},
+                              Entry{Mechanism::kFailingServers, "failing-servers"},
+                              Entry{Mechanism::kConnectBackoff, "reach-limit"},
+                              Entry{Mechanism::kIdleLimit, "rest-limit"},
+                              Entry{Mechanism::kServerProbe, "server-probe"},
+                              Entry{Mechanism::kServerWait, "server-wait"},
+                              Entry{Mechanism::kKeyProof, "key-proof"},
+                              Entry{Mechanism::kQuotas, "quotas"}};
+static_assert(kEntries.size() == static_cast<std::size_t>(Mechanism::kCount));
 
 }  // namespace
 
 std::string_view mechanism_name(Mechanism mechanism) {
-    return kNames.at(static_cast<std::size_t>(mechanism));
+    return kEntries.at(static_cast<std::size_t>(mechanism)).name;
 }
 
 std::optional<Mechanism> mechanism_from_name(std::string_view name) {
-    for (std::size_t index = 0; index < kNames.size(); ++index) {
-        if (kNames[index] == name) {
-            return static_cast<Mechanism>(index);
-        }
-    }
-    return std::nullopt;
+    const auto* found = std::find_if(kEntries.begin(), kEntries.end(),
+                                     [&](const Entry& entry) { return entry.name == name; });
+    return found == kEntries.end() ? std::nullopt : std::optional(found->mechanism);
 }
 
 std::string mechanism_names() {
     std::string text;
-    for (const auto name : kNames) {
+    for (const auto& entry : kEntries) {
         text += text.empty() ? "" : ", ";
-        text += name;
+        text += entry.name;
     }
     return text;
 }
--- a/src/config/mechanisms.hpp
+++ b/src/config/mechanisms.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The closed list of mechanisms that the lab may switch off, to show what each is for.
+/// The closed list of mechanisms that the lab may switch off, to show what each is for. Owns their names in
+/// settings, which are older than some of the names here; each mechanism's own code asks whether it is on.
 #pragma once
 
 #include <bitset>
@@ -10,41 +11,42 @@
 
 namespace anisehold::config {
 
-/// A mechanism behind one of the product's promises.
+/// A mechanism behind one of the product's promises. Each line says what happens with it off.
 enum class Mechanism {
-    kRetryEscrow,        ///< Retries bounded over the chain.
-    kPriorityAdmission,  ///< Shed by priority at the gate.
-    kEarlyRefusal,       ///< Refusal of new roots at the ingress.
-    kGateLimit,          ///< The learned concurrency limit.
-    kConnectionHygiene,  ///< Broken exchanges are never pooled; short answers are never whole.
-    kOutcomeTruth,       ///< "Not run" only where it is known.
-    kClaims,             ///< At most once by quorum of claims.
-    kClaimAbstention,    ///< A restarted claim holder abstains.
-    kLeavingDetection,   ///< Leaving servers get no new work.
-    kDrain,              ///< A planned stop waits for what is in flight.
-    kRevisionOrder,      ///< Only a higher table revision is taken.
-    kPeerSpread,         ///< Documents spread between peers.
+    kRetryEscrow,        ///< Off: retries aren't bounded over the chain of a root request.
+    kPriorityAdmission,  ///< Off: gates admit by time of arrival alone.
+    kEarlyRefusal,       ///< Off: root requests for a service without capacity aren't refused at the edge.
+    kGateLimit,          ///< Off: gates let any number of requests run at their server.
+    kConnectionHygiene,  ///< Off: connections are kept for later requests whatever became of the exchange.
+    kOutcomeTruth,       ///< Off: a request that may have run is reported as not run.
+    kClaims,             ///< Off: non-repeatable requests are sent without a claim.
+    kClaimAbstention,    ///< Off: a claim holder that restarted grants claims at once.
+    kLeavingDetection,   ///< Off: servers that are leaving get new requests.
+    kDrain,              ///< Off: a planned stop doesn't wait for requests in flight.
+    kRevisionOrder,      ///< Off: an older revision of a document replaces a newer one.
+    kPeerSpread,         ///< Off: documents come from the store alone, not from peers.
     // Of the sidecar alone.
-    kFleetCounts,       ///< Early refusal rests on all daemons' counts, not on the own ones.
-    kOnsetReports,      ///< The first refusals after a calm time are told at once.
-    kRetryAfterSpread,  ///< Early refusals name different times to come back.
-    kHedging,           ///< A slow attempt is joined by another one.
-    kRetries,           ///< Requests are sent again within the budget.
-    kUsualServers,      ///< Each daemon prefers a few servers of each service.
-    kZonePreference,    ///< Servers of the own zone are preferred.
-    kColdServers,       ///< Servers that have just started get less.
-    kFailingServers,    ///< Servers that fail get less.
-    kConnectBackoff,    ///< Servers that can't be connected to are passed over.
-    kIdleLimit,         ///< Connections that a server forgets rest less long.
-    kServerProbe,       ///< A daemon that starts asks the server beside it for its health.
-    kServerWait,        ///< Requests wait for servers to be heard of after a start.
-    kKeyProof,          ///< Keyed requests need a recent proof that the configuration is the newest.
-    kQuotas,            ///< Tenants are held to their quotas.
+    kFleetCounts,       ///< Off: early refusal goes by this daemon's own counts alone.
+    kOnsetReports,      ///< Off: the first refusals after a calm time aren't reported at once.
+    kRetryAfterSpread,  ///< Off: early refusals all name the same time to come back.
+    kHedging,           ///< Off: a slow attempt isn't joined by another one.
+    kRetries,           ///< Off: no request is sent again. "repeats" in settings.
+    kUsualServers,      ///< Off: a daemon prefers none of a service's servers.
+    kZonePreference,    ///< Off: servers of the own zone aren't preferred.
+    kColdServers,       ///< Off: servers that have just started get their full share.
+    kFailingServers,    ///< Off: servers that fail get their full share.
+    kConnectBackoff,    ///< Off: a server that can't be connected to is tried each time. "reach-limit".
+    kIdleLimit,         ///< Off: kept connections are used however long they were idle. "rest-limit".
+    kServerProbe,       ///< Off: a starting daemon waits for the heartbeat of the server beside it.
+    kServerWait,        ///< Off: after a start, requests fail at once if no server is known yet.
+    kKeyProof,          ///< Off: requests with keys are served however old the configuration may be.
+    kQuotas,            ///< Off: tenants aren't held to their quotas.
     kCount,
 };
 
-/// Stable name, as used in settings: "retry-escrow".
+/// Stable name, as in the setting `lab.without`: "retry-escrow".
 std::string_view mechanism_name(Mechanism mechanism);
+/// Nothing for an unknown name.
 std::optional<Mechanism> mechanism_from_name(std::string_view name);
 /// All names, for messages.
 std::string mechanism_names();
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// The settings of one process: read from a TOML file, overridden by flags, checked as a whole.
+/// The settings of a table daemon: read from a TOML file, overridden by flags, checked as a whole. Owns their
+/// names, defaults and bounds (the table in setting_catalogue.cpp, which docs/SETTINGS.md repeats); reads no
+/// file itself.
 #pragma once
 
 #include <span>
@@ -12,7 +14,9 @@
 
 namespace anisehold::config {
 
-/// All settings of a daemon. Defaults here are the documented ones. Integers are in the unit of their name.
+/// All settings of a daemon, each named after its section and key; `setting_specs` says what each is for.
+/// Defaults here are the documented ones; they are chosen, not measured, unless docs/SETTINGS.md says more.
+/// Integers are in the unit of their name.
 struct Settings {
     std::string daemon_id;
     std::string daemon_zone;
@@ -91,8 +95,8 @@
     std::vector<SettingError> errors;
 };
 
-/// Reads `file_text` (may be empty), applies `overrides` and checks everything. `file_name` is only used to
-/// name places.
+/// Reads `file_text` (may be empty), applies `overrides` and checks everything: all mistakes are reported,
+/// not just the first. `file_name` is only used to name places.
 SettingsResult load_settings(const std::string& file_name, std::string_view file_text,
                              const std::vector<SettingOverride>& overrides);
 
--- a/src/config/table.hpp
+++ b/src/config/table.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// The operators' table: its rows, its checks, and its forms as CSV and JSON.
+/// The operators' table: its rows, its checks, and its forms as CSV (table_csv.cpp) and as the JSON that the
+/// store holds (table_record.cpp). Owns the columns' names and bounds (table_cells.cpp). Pure; every mistake
+/// in a text is reported with its row and column, and a table with one isn't used.
 #pragma once
 
 #include <array>
@@ -26,7 +28,7 @@
     unsigned priority = 5;           ///< 0 (most important, shed last) to 9 (shed first).
     unsigned weight = 1;             ///< Share among calls of equal priority, 1 to 1000.
     unsigned limit = 0;              ///< Most concurrent calls per server; 0 leaves it to what is learned.
-    milliseconds timeout_ms{2'000};  ///< 1 to 600,000.
+    milliseconds timeout_ms{2'000};  ///< Longest time that a call is held, 1 to 600,000 ms.
     unsigned retries = 0;            ///< Retries over the whole chain below a root request, 0 to 10.
     bool repeatable = true;          ///< Whether running the call twice is harmless.
 
@@ -66,7 +68,7 @@
 /// CSV with a header line and one line a row.
 std::string to_csv(const Table& table);
 
-/// The text of one cell.
+/// The text of one cell; empty for an unknown column.
 std::string cell_text(const TableRow& row, std::string_view column);
 /// Sets one cell from text; an error names the row and column.
 std::optional<TableError> set_cell(Table& table, std::string_view row, std::string_view column,
@@ -96,13 +98,15 @@
     Table table;
 };
 
-/// JSON text of a record.
-std::string to_json_text(const TableRecord& record);
-/// Parses and checks a record; errors name row and column.
+/// A record, usable only when `errors` is empty.
 struct TableRecordResult {
     TableRecord record;
     std::vector<TableError> errors;
 };
+
+/// JSON text of a record.
+std::string to_json_text(const TableRecord& record);
+/// Parses and checks a record; errors name row and column.
 TableRecordResult parse_table_record(std::string_view json_text);
 
 }  // namespace anisehold::config
--- a/tests/unit/wire/settings_golden_test.cpp
+++ b/tests/unit/wire/settings_golden_test.cpp
@@ -90,7 +90,8 @@
          << " ms\nrepeat ratio: " << settings.retry_ratio << "\nrepeat extra: " << settings.retry_extra
          << "\nrepeat window: " << settings.retry_window.count()
          << " ms\nkey revocation: " << settings.key_revocation.count()
-         << " ms\nlog level: " << settings.log_level << "\nwithout:" << text_of(settings.mechanisms) << "\n"
+         << " ms\nlog level: " << SidecarSettings::kLogLevel << "\nwithout:" << text_of(settings.mechanisms)
+         << "\n"
          << text_of(result.errors);
     return text.str();
 }
