--- a/src/explain/failure_summary.cpp
+++ b/src/explain/failure_summary.cpp
@@ -17,7 +17,7 @@
 };
 
 constexpr std::array<CauseName, 15> causeNames{ { { FailureCause::refusedEarly, "refused-early" },
-                                                  { FailureCause::noRoom, "no-room" },
+                                                  { FailureCause::refusedAtGates, "no-room" },
                                                   { FailureCause::noServer, "no-server" },
                                                   { FailureCause::unreachable, "unreachable" },
                                                   { FailureCause::serverFailed, "server-failed" },
@@ -58,10 +58,10 @@
         return FailureCause::serverFailed;
 
     if (outcome == "overloaded")
-        return attempts.empty() ? FailureCause::refusedEarly : FailureCause::noRoom;
+        return attempts.empty() ? FailureCause::refusedEarly : FailureCause::refusedAtGates;
 
     if (outcome == "queue-timeout")
-        return FailureCause::noRoom;
+        return FailureCause::refusedAtGates;
 
     if (outcome == "no-backend")
         return attempts.empty() ? FailureCause::noServer : FailureCause::unreachable;
@@ -90,7 +90,7 @@
     return text + std::string (std::max (width, text.size() + 1) - text.size(), ' ');
 }
 
-/** Served requests are most lines: they are told by their text alone. */
+/** Served requests are most lines: they are known by their text alone. */
 bool isServed (const std::string& text)
 {
     return text.find ("\"outcome\":\"2") != std::string::npos ||
--- a/src/explain/failure_summary.hpp
+++ b/src/explain/failure_summary.hpp
@@ -1,4 +1,6 @@
-/** Groups the refused and failed requests of any number of logs by cause, route and second. Pure. */
+/** Groups the refused and failed requests of any number of logs by cause, route and second. Relies on the
+   names and fields of the log's `ingress-call` lines. Pure, but for reading the logs.
+*/
 #pragma once
 
 #include <cstdint>
@@ -17,7 +19,7 @@
 enum class FailureCause
 {
     refusedEarly,    /**< The limit of root requests; no server was tried. */
-    noRoom,          /**< All servers that were tried refused it at their gates. */
+    refusedAtGates,  /**< All servers that were tried refused it at their gates. */
     noServer,        /**< No server of the service was known. */
     unreachable,     /**< Servers could not be connected to. */
     serverFailed,    /**< A server's own answer says that it failed. */
--- a/src/explain/log_line.hpp
+++ b/src/explain/log_line.hpp
@@ -1,4 +1,4 @@
-/** One line of a process's log, read back. */
+/** One line of a process's log, read back. Relies on the form of lines of `observability/events.hpp`. */
 #pragma once
 
 #include <istream>
--- a/src/explain/request_trace.cpp
+++ b/src/explain/request_trace.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-/** How long before a request a change of its servers is still told. */
+/** How long before a request a change of its servers is still listed. Chosen, not measured, as all here. */
 constexpr milliseconds changeHorizon{ 10'000 };
-/** Calls that failed below are told up to this number. */
+/** Most calls that failed below which are listed. */
 constexpr std::size_t mostFailedBelow = 5;
 /** Lines of one moment may stand in another order in two processes' clocks. */
 constexpr milliseconds clockSlack{ 20 };
--- a/src/explain/request_trace.hpp
+++ b/src/explain/request_trace.hpp
@@ -1,4 +1,6 @@
-/** What the logs of a fleet say of one request: its own lines, and those that led to its outcome. Pure. */
+/** What the logs of a fleet say of one request: its own lines, and those that led to its outcome. Relies on
+   the names and fields of log lines. Pure.
+*/
 #pragma once
 
 #include <string>
--- a/src/hop/hop_header.cpp
+++ b/src/hop/hop_header.cpp
@@ -11,6 +11,7 @@
 /// What a text field may not hold.
 constexpr std::string_view kReserved = ";\r\n";
 
+/// In the order of the enum.
 constexpr std::array<std::string_view, 4> kOutcomeNames{"answered", "not-sent", "refused-by-server",
                                                         "unknown"};
 
@@ -52,7 +53,7 @@
     return result.ec == std::errc{} && result.ptr == end;
 }
 
-/// A number that is left out where it is 0, as nearly always.
+/// A number that isn't written where it is 0, as nearly always.
 bool read_unless_zero(const Fields& fields, std::string_view name, unsigned& number) {
     return !fields.contains(name) || read(fields, name, number);
 }
--- a/src/logging/json_line.hpp
+++ b/src/logging/json_line.hpp
@@ -1,7 +1,8 @@
 /** Flat JSON objects of texts, written straight into one string.
 
-    A log line is built for each decision, so no tree of values is made on the way. Bytes that aren't UTF-8
-   become the replacement character: requests bring any bytes. Pure.
+    A log line is built for each decision, so no tree of values is made on the way: that took 10 % of a
+   sidecar's processor time under load, by a profile. Bytes that aren't UTF-8 become the replacement
+   character: requests bring any bytes. Pure.
 */
 #pragma once
 
--- a/src/logging/line_budget.hpp
+++ b/src/logging/line_budget.hpp
@@ -1,4 +1,6 @@
-/** Bounds the lines of ordinary successes, so that those of failures stay affordable under load. Pure. */
+/** Bounds the lines of ordinary successes, so that those of failures stay affordable under load. The state is
+   the caller's. Pure.
+*/
 #pragma once
 
 #include <algorithm>
@@ -10,19 +12,19 @@
 namespace anisehold::logging
 {
 
-/** A token bucket of lines. */
+/** A token bucket of lines. The rate and the size are chosen, not measured. */
 struct LineBudget
 {
     double perSecond = 200;
-    double most = 400; /**< Tokens that pile up in quiet times. */
+    double most = 400; /**< Tokens that are saved up in quiet times. */
     double tokens = 400;
     TimePoint updated;
     std::uint64_t skipped = 0; /**< Lines that were not written since `takeSkipped`. */
-    TimePoint told;            /**< When skipped lines were last taken. */
+    TimePoint reported;        /**< When skipped lines were last taken. */
 };
 
-/** Least time between two tellings of skipped lines. Told with each line that was written again, they were
-   126 of 433 lines of the busiest of 15 processes, and used up the room of the failures' lines. */
+/** Least time between two reports of skipped lines. Without it such reports were 126 of 433 lines of the
+   busiest of 15 processes, at the cost of the failures' lines. */
 inline constexpr seconds leastSkippedGap{ 1 };
 
 /** Takes one line's token; false, and one more skipped line, if there is none. */
@@ -42,13 +44,13 @@
     return true;
 }
 
-/** Number of lines skipped since it last told of any; 0 if that is less than `leastSkippedGap` ago. */
+/** Number of lines skipped since the last report; 0 if that is less than `leastSkippedGap` ago. */
 inline std::uint64_t takeSkipped (LineBudget& budget, TimePoint now)
 {
-    if (budget.skipped == 0 || now - budget.told < leastSkippedGap)
+    if (budget.skipped == 0 || now - budget.reported < leastSkippedGap)
         return 0;
 
-    budget.told = now;
+    budget.reported = now;
     return std::exchange (budget.skipped, 0);
 }
 
--- a/src/observability/bounded_output.hpp
+++ b/src/observability/bounded_output.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Log output that never blocks: lines wait in a bounded buffer, and those that don't fit are counted.
+/// Log output that never blocks: lines wait in a bounded buffer, and those that don't fit are counted and
+/// reported by the next one that does. Owns the buffer; the descriptor is the caller's.
 #pragma once
 
 #include <log4cplus/appender.h>
@@ -13,7 +14,7 @@
 /// Writes lines to a descriptor as far as it takes them at once.
 class BoundedOutput final : public log4cplus::Appender {
   public:
-    /// Largest sum of lines that wait.
+    /// Largest sum of lines that wait, in bytes. Chosen, not measured.
     static constexpr std::size_t kMostBufferedBytes = 256 * 1024;
 
     explicit BoundedOutput(int descriptor) : descriptor_(descriptor) {}
--- a/src/observability/decision_ring.hpp
+++ b/src/observability/decision_ring.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The latest decisions of this daemon about calls, for `anisehold explain`.
+/// The latest decisions of this daemon about calls, for `anisehold explain`. Owns them in memory only; older
+/// ones are dropped.
 #pragma once
 
 #include <chrono>
@@ -10,7 +11,7 @@
 
 namespace anisehold::observability {
 
-/// What was decided.
+/// What was decided. Log names are from `decision_step_name`.
 enum class DecisionStep {
     kReceived,
     kAccounted,
@@ -37,6 +38,7 @@
 /// Keeps the last `kCapacity` decisions.
 class DecisionRing {
   public:
+    /// Chosen, not measured.
     static constexpr std::size_t kCapacity = 20'000;
 
     void add(const std::string& request_id, const std::string& call_id, DecisionStep step,
--- a/src/observability/events.hpp
+++ b/src/observability/events.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// Numbered log events. The catalogue here is the one in docs/EVENTS.md.
+/// Numbered log events and the process's one log. Owns the catalogue (event_catalogue.cpp, which
+/// docs/EVENTS.md repeats), the form of lines, and the ring of recent ones; relies on log4cplus for output.
+/// Nothing waits for the log: its volume is bounded, and lines that don't fit are counted.
 #pragma once
 
 #include <deque>
@@ -68,13 +70,15 @@
     kMechanismOff = 1901,
 };
 
+/// How serious an event is; the settings say from which level on it is logged.
 enum class Level { kDebug, kInfo, kWarn, kError };
 
+/// One row of the catalogue.
 struct EventEntry {
     Event event;
     Level level;
-    std::string_view name;
-    std::string_view meaning;
+    std::string_view name;     ///< Stable lower-case name, as in log lines.
+    std::string_view meaning;  ///< For docs/EVENTS.md.
 };
 
 /// The catalogue of `Event`, in ascending order.
@@ -102,6 +106,7 @@
 /// Writes out what is pending.
 void stop_logging();
 
+/// Writes a line at the event's level.
 void log_event(Event event, std::initializer_list<EventField> fields);
 /// The same for an ordinary success: at most 200 lines a second, then some are skipped and counted.
 void log_routine(Event event, std::initializer_list<EventField> fields);
--- a/src/observability/metrics.cpp
+++ b/src/observability/metrics.cpp
@@ -7,6 +7,7 @@
 #include <prometheus/registry.h>
 #include <prometheus/text_serializer.h>
 
+#include <algorithm>
 #include <array>
 
 namespace anisehold::observability {
@@ -35,15 +36,14 @@
                 "Requests that ran at servers when these crashed, by state: condemned or suspected."},
 };
 
-const MetricEntry& entry(std::string_view name) {
-    for (const auto& each : kCatalogue) {
-        if (each.name == name) {
-            return each;
-        }
-    }
-    return kCatalogue.front();
+/// The help text of a metric of the catalogue.
+std::string help_of(std::string_view name) {
+    const auto* found = std::find_if(kCatalogue.begin(), kCatalogue.end(),
+                                     [&](const MetricEntry& entry) { return entry.name == name; });
+    return std::string(found->help);
 }
 
+/// Upper bounds in seconds. Chosen, not measured.
 prometheus::Histogram::BucketBoundaries latency_buckets() {
     return {0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5};
 }
@@ -58,25 +58,18 @@
     prometheus::Registry registry;
 
     prometheus::Family<prometheus::Counter>& counter(std::string_view name) {
-        return prometheus::BuildCounter()
-            .Name(std::string(name))
-            .Help(std::string(entry(name).help))
-            .Register(registry);
+        return prometheus::BuildCounter().Name(std::string(name)).Help(help_of(name)).Register(registry);
     }
     prometheus::Family<prometheus::Gauge>& gauge(std::string_view name) {
-        return prometheus::BuildGauge()
-            .Name(std::string(name))
-            .Help(std::string(entry(name).help))
-            .Register(registry);
+        return prometheus::BuildGauge().Name(std::string(name)).Help(help_of(name)).Register(registry);
     }
 
     prometheus::Family<prometheus::Counter>& answers = counter("anisehold_answers_total");
     prometheus::Family<prometheus::Counter>& errors = counter("anisehold_errors_total");
-    prometheus::Family<prometheus::Histogram>& call_seconds =
-        prometheus::BuildHistogram()
-            .Name("anisehold_call_seconds")
-            .Help(std::string(entry("anisehold_call_seconds").help))
-            .Register(registry);
+    prometheus::Family<prometheus::Histogram>& call_seconds = prometheus::BuildHistogram()
+                                                                  .Name("anisehold_call_seconds")
+                                                                  .Help(help_of("anisehold_call_seconds"))
+                                                                  .Register(registry);
     prometheus::Family<prometheus::Counter>& retries = counter("anisehold_retries_total");
     prometheus::Family<prometheus::Counter>& dispatches = counter("anisehold_dispatches_total");
     prometheus::Family<prometheus::Counter>& claims = counter("anisehold_claims_total");
--- a/src/observability/metrics.hpp
+++ b/src/observability/metrics.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The daemon's metrics, in Prometheus' text format. Each is documented in docs/METRICS.md.
+/// The daemon's metrics, in Prometheus' text format. Owns their names, help texts and values; docs/METRICS.md
+/// repeats the catalogue. Every label value that is counted stays for the life of the process.
 #pragma once
 
 #include <memory>
@@ -12,7 +13,7 @@
 
 namespace anisehold::observability {
 
-/// One documented metric.
+/// One metric as it is documented.
 struct MetricEntry {
     std::string_view name;
     std::string_view type;
@@ -22,7 +23,7 @@
 /// All metrics there are.
 std::span<const MetricEntry> metric_catalogue();
 
-/// Present values of one server's gate.
+/// Present values of one server's gate, in requests.
 struct GateMetrics {
     unsigned in_flight = 0;
     unsigned queued = 0;
@@ -37,7 +38,7 @@
     Metrics(const Metrics&) = delete;
     Metrics& operator=(const Metrics&) = delete;
 
-    /// A call at the ingress ended with a back end's answer of this status class.
+    /// A call at the ingress ended with a back end's answer, so long after its arrival.
     void count_answer(const std::string& row, unsigned status, Duration taken);
     /// A call at the ingress ended with an error kind of ours.
     void count_error(const std::string& row, ErrorKind kind);
--- a/tests/unit/explain/failure_summary_test.cpp
+++ b/tests/unit/explain/failure_summary_test.cpp
@@ -38,8 +38,8 @@
         FailureCause cause;
     };
     const std::vector<Row> rows{ { "overloaded", "", FailureCause::refusedEarly },
-                                 { "overloaded", "i-1:not-sent/overloaded:1ms:age2", FailureCause::noRoom },
-                                 { "queue-timeout", "", FailureCause::noRoom },
+                                 { "overloaded", "i-1:not-sent/overloaded:1ms:age2", FailureCause::refusedAtGates },
+                                 { "queue-timeout", "", FailureCause::refusedAtGates },
                                  { "no-backend", "", FailureCause::noServer },
                                  { "no-backend", "i-1:not-sent/connect-failed:1ms:age2",
                                    FailureCause::unreachable },
