--- a/src/cli/admin_client.cpp
+++ b/src/cli/admin_client.cpp
@@ -8,6 +8,7 @@
 namespace anisehold::cli {
 namespace {
 
+/// Chosen, not measured.
 constexpr seconds kTimeout{3};
 
 }  // namespace
--- a/src/cli/admin_client.hpp
+++ b/src/cli/admin_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Questions of the operators' commands to a daemon's admin port.
+/// Requests of the operators' commands to a daemon's admin port.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,9 +1,11 @@
 /// @file
-/// `anisehold`: the daemon and the operators' commands.
+/// `anisehold`: the daemons and the operators' commands. Owns the command line; each command's work is its
+/// own module's.
 
 #include <CLI/CLI.hpp>
 #include <iostream>
 
+#include "cli/exit_status.hpp"
 #include "cli/settings_options.hpp"
 #include "cli/sidecar_command.hpp"
 #include "cli/status_commands.hpp"
@@ -16,10 +18,6 @@
 namespace anisehold::cli {
 namespace {
 
-constexpr int kDone = 0;
-constexpr int kFailed = 1;
-constexpr int kUsage = 2;
-
 int serve(net::EventLoop& loop, const SettingsOptions& options) {
     config::Settings settings;
     if (!options.load(settings)) {
@@ -56,52 +54,66 @@
     return good ? kDone : kUsage;
 }
 
-}  // namespace
-
-int run(int argc, char** argv) {
-    CLI::App app{"Overload control for service call graphs"};
-    app.require_subcommand(1);
+/// The subcommands and what was given to them.
+class Commands {
+  public:
+    void add_to(CLI::App& app) {
+        app.require_subcommand(1);
+        serve_ = app.add_subcommand("serve", "Run the daemon");
+        serve_options_.add_to(*serve_);
+        check_ = app.add_subcommand("check", "Check settings, and a table, without starting");
+        check_options_.add_to(*check_);
+        check_->add_option("--table", table_file_, "CSV file of a table to check too");
+        table_.add_to(app);
+        status_.add_to(app);
+        explain_.add_to(app);
+        sidecar_.add_to(app);
+    }
 
-    SettingsOptions serve_options;
-    auto* serve_command = app.add_subcommand("serve", "Run the daemon");
-    serve_options.add_to(*serve_command);
+    /// Runs the chosen one; returns its exit status, or ends the process with it.
+    int run() {
+        if (sidecar_.chosen()) {
+            return sidecar_.run();
+        }
+        if (check_->parsed()) {
+            return check(check_options_, table_file_);
+        }
+        net::EventLoop loop;
+        const int status = run_on(loop);
+        std::cout.flush();
+        net::exit_process(status);
+    }
 
-    SettingsOptions check_options;
-    std::string table_file;
-    auto* check_command = app.add_subcommand("check", "Check settings, and a table, without starting");
-    check_options.add_to(*check_command);
-    check_command->add_option("--table", table_file, "CSV file of a table to check too");
+  private:
+    int run_on(net::EventLoop& loop) {
+        if (serve_->parsed()) {
+            return serve(loop, serve_options_);
+        }
+        if (table_.chosen()) {
+            return table_.run(loop);
+        }
+        return status_.chosen() ? status_.run(loop) : explain_.run(loop);
+    }
 
-    TableCommands table_commands;
-    table_commands.add_to(app);
-    StatusCommand status_command;
-    status_command.add_to(app);
-    ExplainCommand explain_command;
-    explain_command.add_to(app);
+    CLI::App* serve_ = nullptr;
+    CLI::App* check_ = nullptr;
+    SettingsOptions serve_options_;
+    SettingsOptions check_options_;
+    std::string table_file_;
+    TableCommands table_;
+    StatusCommand status_;
+    ExplainCommand explain_;
+    SidecarCommand sidecar_;
+};
 
-    SidecarCommand sidecar_command;
-    sidecar_command.add_to(app);
+}  // namespace
 
+int run(int argc, char** argv) {
+    CLI::App app{"Overload control for service call graphs"};
+    Commands commands;
+    commands.add_to(app);
     CLI11_PARSE(app, argc, argv);
-    if (sidecar_command.chosen()) {
-        return sidecar_command.run();
-    }
-    if (check_command->parsed()) {
-        return check(check_options, table_file);
-    }
-    net::EventLoop loop;
-    int status = kDone;
-    if (serve_command->parsed()) {
-        status = serve(loop, serve_options);
-    } else if (table_commands.chosen()) {
-        status = table_commands.run(loop);
-    } else if (status_command.chosen()) {
-        status = status_command.run(loop);
-    } else {
-        status = explain_command.run(loop);
-    }
-    std::cout.flush();
-    net::exit_process(status);
+    return commands.run();
 }
 
 }  // namespace anisehold::cli
--- a/src/cli/settings_options.hpp
+++ b/src/cli/settings_options.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Flags for every setting, and reading of the settings file.
+/// Flags for every setting of the table daemon, and reading of its settings file. Relies on `config` for
+/// names, bounds and checks.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -20,7 +21,7 @@
 
   private:
     std::string file_name_;
-    std::vector<config::SettingOverride> values_;  // One place per setting; empty text means not given.
+    std::vector<config::SettingOverride> values_;  // One for each setting; empty text means not given.
 };
 
 /// The whole content of a file; false if it can't be read.
--- a/src/cli/sidecar_command.cpp
+++ b/src/cli/sidecar_command.cpp
@@ -4,6 +4,7 @@
 #include <csignal>
 #include <iostream>
 
+#include "cli/exit_status.hpp"
 #include "cli/settings_options.hpp"
 #include "config/sidecar_settings.hpp"
 #include "net/event_loop.hpp"
@@ -15,10 +16,7 @@
 namespace anisehold::cli {
 namespace {
 
-constexpr int kDone = 0;
-constexpr int kFailed = 1;
-constexpr int kUsage = 2;
-/// Log lines are written in groups: each write costs a system call.
+/// Log lines are written in groups: each write costs a system call. Chosen, not measured.
 constexpr milliseconds kLogFlushPeriod{200};
 
 void flush_log_later() {
--- a/src/cli/sidecar_command.hpp
+++ b/src/cli/sidecar_command.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// `anisehold sidecar`: the daemon beside one server.
+/// `anisehold sidecar`: the daemon beside one server. The only place that joins the sidecar to the adapter of
+/// its platform.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/cli/status_commands.cpp
+++ b/src/cli/status_commands.cpp
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "cli/admin_client.hpp"
+#include "cli/exit_status.hpp"
 #include "explain/failure_summary.hpp"
 #include "explain/request_trace.hpp"
 
@@ -14,10 +15,6 @@
 
 using nlohmann::json;
 
-constexpr int kDone = 0;
-constexpr int kFailed = 1;
-constexpr int kUsage = 2;
-
 std::optional<json> fetch_fleet(net::EventLoop& loop, const std::string& daemon, int& status) {
     const auto endpoint = parse_endpoint(daemon);
     if (!endpoint) {
@@ -80,6 +77,17 @@
     print_gates(*status);
 }
 
+/// Steps in order of time, at least one; times count from the first.
+void print_steps(const std::vector<json>& steps) {
+    const auto first_us = steps.front().at("at_us").get<long long>();
+    for (const auto& step : steps) {
+        std::cout << "+" << step.at("at_us").get<long long>() - first_us << " us  "
+                  << step.at("member").get<std::string>() << "  call " << step.at("call").get<std::string>()
+                  << "  " << step.at("step").get<std::string>() << "  "
+                  << step.at("detail").get<std::string>() << "\n";
+    }
+}
+
 }  // namespace
 
 void StatusCommand::add_to(CLI::App& app) {
@@ -160,6 +168,10 @@
         std::cerr << "explain: --daemon or --log is needed\n";
         return kUsage;
     }
+    return explain_fleet(loop, request_id);
+}
+
+int ExplainCommand::explain_fleet(net::EventLoop& loop, const std::string& request_id) const {
     int status = kDone;
     const auto fleet = fetch_fleet(loop, daemon_, status);
     if (!fleet) {
@@ -182,14 +194,7 @@
         std::cout << "no daemon remembers this request\n";
         return kFailed;
     }
-    const auto first_us = steps.front().at("at_us").get<long long>();
-    for (const auto& step : steps) {
-        std::cout << "+" << step.at("at_us").get<long long>() - first_us << " us  "
-                  << step.at("member").get<std::string>() << "  call " << step.at("call").get<std::string>()
-                  << "  " << step.at("step").get<std::string>() << "  "
-                  << step.at("detail").get<std::string>() << "\n";
-    }
+    print_steps(steps);
     return kDone;
 }
-
 }  // namespace anisehold::cli
--- a/src/cli/status_commands.hpp
+++ b/src/cli/status_commands.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// `anisehold status` and `anisehold explain`.
+/// `anisehold status` and `anisehold explain`: print what daemons and logs say; change nothing.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -15,6 +15,7 @@
   public:
     void add_to(CLI::App& app);
     bool chosen() const { return command_ != nullptr && command_->parsed(); }
+    /// The exit status.
     int run(net::EventLoop& loop);
 
   private:
@@ -28,9 +29,11 @@
   public:
     void add_to(CLI::App& app);
     bool chosen() const { return command_ != nullptr && command_->parsed(); }
+    /// The exit status.
     int run(net::EventLoop& loop);
 
   private:
+    int explain_fleet(net::EventLoop& loop, const std::string& request_id) const;
     int explain_logs(const std::string& request_id) const;
     int summarize_logs() const;
 
--- a/src/cli/table_commands.cpp
+++ b/src/cli/table_commands.cpp
@@ -6,6 +6,7 @@
 #include <iostream>
 
 #include "cli/admin_client.hpp"
+#include "cli/exit_status.hpp"
 #include "cli/settings_options.hpp"
 #include "config/csv.hpp"
 #include "config/table.hpp"
@@ -16,12 +17,12 @@
 
 using store::AcceptOutcome;
 
+// Chosen, not measured.
+/// Longest time for one call to the store.
 constexpr milliseconds kStoreTimeout{3'000};
+/// Longest time that `--wait` waits for all members, and how often it asks one.
 constexpr seconds kInForceTimeout{30};
 constexpr milliseconds kInForcePoll{10};
-constexpr int kDone = 0;
-constexpr int kFailed = 1;
-constexpr int kUsage = 2;
 
 std::string default_author() {
     const char* user = std::getenv("USER");
@@ -72,6 +73,16 @@
     return true;
 }
 
+/// The table in the store; nothing, after a message, if it can't be had.
+std::optional<store::StoredTable> load(store::TableStore& tables) {
+    std::error_code error;
+    auto stored = tables.load(error);
+    if (!stored) {
+        std::cerr << "the store gave no table: " << error.message() << "\n";
+    }
+    return stored;
+}
+
 }  // namespace
 
 void TableCommands::add_to(CLI::App& app) {
@@ -124,10 +135,8 @@
 }
 
 int TableCommands::show(store::TableStore& tables, bool as_csv) {
-    std::error_code error;
-    const auto stored = tables.load(error);
+    const auto stored = load(tables);
     if (!stored) {
-        std::cerr << "the store gave no table: " << error.message() << "\n";
         return kFailed;
     }
     if (as_csv) {
@@ -141,10 +150,8 @@
 }
 
 int TableCommands::set_cells(store::TableStore& tables) {
-    std::error_code error;
-    const auto base = tables.load(error);
+    const auto base = load(tables);
     if (!base) {
-        std::cerr << "the store gave no table: " << error.message() << "\n";
         return kFailed;
     }
     auto wanted = base->record.table;
@@ -177,10 +184,8 @@
     if (!parsed.errors.empty()) {
         return kUsage;
     }
-    std::error_code error;
-    const auto base = tables.load(error);
+    const auto base = load(tables);
     if (!base) {
-        std::cerr << "the store gave no table: " << error.message() << "\n";
         return kFailed;
     }
     return report(tables.accept(*base, parsed.table, author_));
--- a/src/cli/table_commands.hpp
+++ b/src/cli/table_commands.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// `anisehold table ...`: the operators' way to the table.
+/// `anisehold table ...`: the operators' way to the table. Reads and changes it in the store; daemons are
+/// only asked whether a change is in force.
 #pragma once
 
 #include <CLI/CLI.hpp>
