--- a/src/daemon/peer_client.hpp
+++ b/src/daemon/peer_client.hpp
@@ -5,8 +5,8 @@
 #include <optional>
 
 #include "daemon/daemon_context.hpp"
+#include "daemon/peer_messages.hpp"
 #include "net/frame_transport.hpp"
-#include "protocol/peer_messages.hpp"
 
 namespace anisehold::daemon {
 
--- a/src/protocol/peer_messages.cpp
+++ b/src/daemon/peer_messages.cpp
@@ -1,9 +1,9 @@
-#include "protocol/peer_messages.hpp"
+#include "daemon/peer_messages.hpp"
 
 #include "protocol/message_archive.hpp"
 #include "protocol/message_digest.hpp"
 
-namespace anisehold {
+namespace anisehold::daemon {
 namespace {
 
 // The purposes keep a message of one kind, or of another version of the protocol, from being accepted.
@@ -61,4 +61,4 @@
     return decode_as<PeerReply>(kReplyPurpose, bytes, key);
 }
 
-}  // namespace anisehold
+}  // namespace anisehold::daemon
--- a/src/protocol/peer_messages.hpp
+++ b/src/daemon/peer_messages.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// Messages between daemons over TCP, and the authenticated encoding of those and of gossip datagrams.
+/// Messages between table daemons over TCP, and the authenticated encoding of those and of gossip datagrams.
+/// Owns the list of requests and replies, whose order is on the wire; claims, retries and membership own
+/// their own messages. Pure.
 #pragma once
 
 #include <boost/variant.hpp>
@@ -16,9 +18,9 @@
 #include "protocol/stored_answer.hpp"
 #include "retry/retry_ledger.hpp"
 
-namespace anisehold {
+namespace anisehold::daemon {
 
-/// Asks for all member records; brings the asker's own one.
+/// Asks for all member records; brings the sender's own one.
 struct MembersRequest {
     std::vector<membership::MemberRecord> records;
 
@@ -82,7 +84,7 @@
     }
 };
 
-/// Says that a request was taken in and needs no other answer.
+/// The reply to a request that needs no other one.
 struct Acknowledged {
     template <typename Archive>
     void serialize(Archive& /*archive*/, unsigned /*version*/) {}
@@ -95,7 +97,7 @@
     boost::variant<Acknowledged, MembersReply, Document, claims::ClaimReply, claims::ClaimSyncReply,
                    claims::ClaimStatusReply, retry::DrawReply, AnswerReply, RevisionsReply>;
 
-/// Largest encoded message; a longer frame is refused unread.
+/// Largest encoded message, in bytes; a longer frame is refused unread. Chosen, not measured.
 inline constexpr std::size_t kMaxFrameBytes = 8 * 1024 * 1024;
 
 /// Encodes with a leading authentication code under `key`.
@@ -108,4 +110,4 @@
 std::optional<PeerRequest> decode_request(std::string_view bytes, std::string_view key);
 std::optional<PeerReply> decode_reply(std::string_view bytes, std::string_view key);
 
-}  // namespace anisehold
+}  // namespace anisehold::daemon
--- a/src/daemon/peer_service.hpp
+++ b/src/daemon/peer_service.hpp
@@ -7,8 +7,8 @@
 #include "daemon/document_service.hpp"
 #include "daemon/gate_service.hpp"
 #include "daemon/membership_service.hpp"
+#include "daemon/peer_messages.hpp"
 #include "net/frame_transport.hpp"
-#include "protocol/peer_messages.hpp"
 
 namespace anisehold::daemon {
 
--- a/src/protocol/call_context.cpp
+++ b/src/protocol/call_context.cpp
@@ -9,6 +9,7 @@
 namespace anisehold {
 namespace {
 
+// What is accepted in a header line: greater numbers and longer texts are malformed.
 constexpr std::size_t kRootIdLength = 32;
 constexpr std::size_t kCallIdLength = 16;
 constexpr std::size_t kMaxHomeLength = 64;
--- a/src/protocol/call_context.hpp
+++ b/src/protocol/call_context.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// The context that a call carries down the chain in the `Anisehold-Context` header.
+/// The header lines that table daemons define: the context that a call carries down the chain, the request to
+/// a gate, and the gate's report. Owns their names and text forms; contexts and requests to gates are
+/// authenticated under the key that all daemons share. Pure.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +25,7 @@
 /// Set on an answer that was kept from an earlier request with the same key.
 inline constexpr std::string_view kReplayed = "Idempotency-Replayed";
 inline constexpr std::string_view kRetryAfter = "Retry-After";
-/// Between daemons only: the server that the gate is asked for, and its authentication code.
+/// Between daemons only: the server whose gate the call is for, and its authentication code.
 inline constexpr std::string_view kGate = "Anisehold-Gate";
 /// Between daemons only: retries used below, and the gate's load.
 inline constexpr std::string_view kGateReport = "Anisehold-Gate-Report";
@@ -32,7 +34,7 @@
 inline constexpr std::string_view kRequestId = "Anisehold-Request-Id";
 }  // namespace header
 
-/// Deepest chain of nested calls that is served; a deeper one is a loop.
+/// Deepest chain of nested calls that is served; a deeper one is taken for a loop. Chosen, not measured.
 inline constexpr unsigned kMaxDepth = 16;
 
 /// What a call knows about the root request that it belongs to.
@@ -77,10 +79,10 @@
     std::string overloaded_service;  ///< That refused the call or one below it; empty if none did.
     bool nested_ran = false;         ///< A call nested in this one may have run.
     bool leaving = false;            ///< The server is leaving.
-    unsigned in_flight = 0;
-    unsigned queued = 0;
-    unsigned limit = 0;
-    unsigned retry_after_ms = 0;
+    unsigned in_flight = 0;          ///< Calls that run at the server.
+    unsigned queued = 0;             ///< Calls that wait at the gate.
+    unsigned limit = 0;              ///< Most calls that the gate lets run.
+    unsigned retry_after_ms = 0;     ///< When a refused caller may come back.
 };
 
 /// The value of the `Anisehold-Gate-Report` header.
--- a/src/protocol/documents.hpp
+++ b/src/protocol/documents.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Small documents that every daemon holds a copy of: the table and the claim holder view.
+/// Small documents that every table daemon holds a copy of: the table and the claim holder view. Here is only
+/// their envelope; the store owns them, and `config` and `claims` read their texts.
 #pragma once
 
 #include <array>
--- a/src/protocol/duration_text.hpp
+++ b/src/protocol/duration_text.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Lengths of time as text: a number and its unit, "1500ms" or "2.5s".
+/// Lengths of time as text: a number and its unit, "1500ms" or "2.5s". Used for settings and for the
+/// platform's documents. Pure.
 #pragma once
 
 #include <optional>
--- a/src/protocol/endpoint.hpp
+++ b/src/protocol/endpoint.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An IP address and port; host names are not accepted anywhere.
+/// An IP address and port, as text and in messages; host names are not accepted anywhere. Pure.
 #pragma once
 
 #include <cstdint>
--- a/src/protocol/error_kind.hpp
+++ b/src/protocol/error_kind.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The closed list of error kinds and the one table from a kind to the answer a caller gets.
+/// The closed list of error kinds and the one table from a kind to the answer a caller gets. Owns names,
+/// statuses and event numbers, which logs, metrics and answers share; who answers decides which kind it is.
 #pragma once
 
 #include <optional>
@@ -54,8 +55,8 @@
 
 /// When a caller that was given this kind should come back.
 enum class ComeBack {
-    kNever,  ///< Repeating the same request can't help.
-    kSoon,   ///< After a short, jittered pause: `Retry-After` is sent.
+    kNever,  ///< Sending the same request again can't help.
+    kSoon,   ///< After a pause: `Retry-After` is sent.
 };
 
 /// One row of the table from error kind to answer.
--- a/src/protocol/message_archive.hpp
+++ b/src/protocol/message_archive.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Binary encoding of messages with Boost.Serialization, safe against malformed input. Included only where
-/// messages are encoded: the archives are expensive to compile.
+/// Binary encoding of messages between our own processes with Boost.Serialization, safe against malformed
+/// input. Each message owns its layout (`serialize_all`). Included only where messages are encoded: the
+/// archives are expensive to compile.
 #pragma once
 
 #include <boost/archive/binary_iarchive_impl.hpp>
--- a/src/protocol/message_digest.hpp
+++ b/src/protocol/message_digest.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Keyed authentication codes (HMAC-SHA256, truncated) and fast, unkeyed digests (XXH3).
+/// Keyed authentication codes (HMAC-SHA256, truncated) and fast, unkeyed digests (XXH3). Their values are on
+/// the wire and in the store. Pure.
 #pragma once
 
 #include <cstdint>
--- a/src/protocol/request_digest.hpp
+++ b/src/protocol/request_digest.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The digest by which a request that comes again is known, whatever its id, machine and deadline.
+/// The digest by which a request that comes again is known, whatever its id, machine and deadline. Its values
+/// are on the wire, in logs and in the store. Pure.
 #pragma once
 
 #include <cstdint>
--- a/src/protocol/serialize_all.hpp
+++ b/src/protocol/serialize_all.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Names the fields of a message for Boost.Serialization.
+/// Names the fields of a message for Boost.Serialization. Cheap to include, unlike `message_archive.hpp`.
 #pragma once
 
 namespace anisehold {
--- a/src/protocol/strong_id.hpp
+++ b/src/protocol/strong_id.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Ids and counts that the compiler keeps apart.
+/// Ids and counts that the compiler keeps apart. Pure.
 #pragma once
 
 #include <functional>
--- a/src/routing/handles/ledger_route.cpp
+++ b/src/routing/handles/ledger_route.cpp
@@ -86,7 +86,7 @@
     const auto* home = membership_.find(call.parent->home);
     if (home != nullptr) {
         // Before the answer goes up: the calling layer's own retry must find the loan returned.
-        peers_.ask<Acknowledged>(home->info.peer, request, kPeerTimeout);
+        peers_.ask<daemon::Acknowledged>(home->info.peer, request, kPeerTimeout);
     }
 }
 
--- a/tests/unit/protocol/peer_messages_test.cpp
+++ b/tests/unit/daemon/peer_messages_test.cpp
@@ -1,4 +1,4 @@
-#include "protocol/peer_messages.hpp"
+#include "daemon/peer_messages.hpp"
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -6,6 +6,7 @@
 #include "protocol/message_digest.hpp"
 
 using namespace anisehold;
+using namespace anisehold::daemon;
 
 namespace {
 
--- a/tests/unit/membership/swim_test.cpp
+++ b/tests/unit/membership/swim_test.cpp
@@ -6,9 +6,10 @@
 #include <queue>
 #include <set>
 
-#include "protocol/peer_messages.hpp"
+#include "daemon/peer_messages.hpp"
 
 using namespace anisehold;
+using namespace anisehold::daemon;
 using namespace anisehold::membership;
 
 namespace {
--- a/tests/unit/wire/peer_messages_golden_test.cpp
+++ b/tests/unit/wire/peer_messages_golden_test.cpp
@@ -1,9 +1,10 @@
 #include <catch2/catch.hpp>
 
-#include "protocol/peer_messages.hpp"
+#include "daemon/peer_messages.hpp"
 #include "wire_samples.hpp"
 
 using namespace anisehold;
+using namespace anisehold::daemon;
 
 namespace {
 
