--- a/tests/incidents/crash_ways_test.cpp
+++ b/tests/incidents/crash_ways_test.cpp
@@ -1,7 +1,7 @@
 /** The ways of keeping a request that crashes servers from others, compared in simulated time; the story is
    at the head of fatal_request_test.cpp. With nothing remembered, as it was, a day has 19.2 crashes and 0.643
    of the others fail; with the ways in force 3.0 and 0.0000, means of 40 days. The whole table stands in
-    docs/design/fatal-requests.md.
+    docs/design/suspects.md.
 */
 #include <catch2/catch.hpp>
 #include <iomanip>
