--- a/src/cli/table_commands.cpp
+++ b/src/cli/table_commands.cpp
@@ -94,7 +94,7 @@
     command_->add_option("--daemon", daemon_, "Admin address of a daemon, IP:PORT; for --wait");
     command_->add_option("--author", author_, "Name to keep with a change");
     command_->add_flag("--wait", wait_, "After a change, wait until it is in force at every member");
-    show_ = command_->add_subcommand("show", "Print the table");
+    command_->add_subcommand("show", "Print the table");
     export_ = command_->add_subcommand("export", "Print the table as CSV");
     set_ = command_->add_subcommand("set", "Change cells and accept the change");
     set_->add_option("cells", cells_, "ROW.COLUMN=VALUE")->required();
--- a/src/cli/table_commands.hpp
+++ b/src/cli/table_commands.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// `anisehold table ...`: the operators' way to the table. Reads and changes it in the store; daemons are
-/// only asked whether a change is in force.
+/// `anisehold table ...`: the operators' way to the table. Reads and changes it in the store; daemons only
+/// say whether a change is in force.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -35,7 +35,6 @@
 
     net::EventLoop* loop_ = nullptr;
     CLI::App* command_ = nullptr;
-    CLI::App* show_ = nullptr;
     CLI::App* export_ = nullptr;
     CLI::App* set_ = nullptr;
     CLI::App* accept_ = nullptr;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -2,11 +2,11 @@
 
 #include <toml++/toml.h>
 
-#include <charconv>
 #include <map>
 #include <optional>
 
 #include "config/mechanisms.hpp"
+#include "protocol/number_text.hpp"
 
 namespace anisehold::config {
 namespace {
@@ -138,12 +138,9 @@
         return assign_text(spec, settings.*field, value);
     }
     Assignment operator()(long long Settings::*field) const {
-        long long number = 0;
-        const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
-        if (error != std::errc{} || end != value.data() + value.size()) {
-            return "\"" + value + "\" is not a whole number";
-        }
-        return assign_integer(spec, settings.*field, number);
+        const auto number = parse_number<long long>(value);
+        return number ? assign_integer(spec, settings.*field, *number)
+                      : Assignment("\"" + value + "\" is not a whole number");
     }
     Assignment operator()(bool Settings::*field) const {
         if (value != "true" && value != "false") {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// The settings of a table daemon: read from a TOML file, overridden by flags, checked as a whole. Owns their
-/// names, defaults and bounds (the table in setting_catalogue.cpp, which docs/SETTINGS.md repeats); reads no
+/// names, defaults and bounds (the table in setting_catalogue.cpp, which docs/SETTINGS.md lists); reads no
 /// file itself.
 #pragma once
 
--- a/src/config/sidecar_settings.cpp
+++ b/src/config/sidecar_settings.cpp
@@ -2,10 +2,10 @@
 
 #include <toml++/toml.h>
 
-#include <charconv>
 #include <sstream>
 
 #include "protocol/duration_text.hpp"
+#include "protocol/number_text.hpp"
 
 namespace anisehold::config {
 namespace {
@@ -83,10 +83,11 @@
         if (found.empty()) {
             return;
         }
-        const auto* end = found.data() + found.size();
-        const auto result = std::from_chars(found.data(), end, value);
-        if (result.ec != std::errc{} || result.ptr != end || value < 0) {
+        const auto parsed = parse_number<double>(found);
+        if (!parsed || *parsed < 0) {
             fail(name, "isn't a number from 0");
+        } else {
+            value = *parsed;
         }
     }
 
--- a/src/config/table_cells.cpp
+++ b/src/config/table_cells.cpp
@@ -1,7 +1,8 @@
 #include "config/table_cells.hpp"
 
 #include <algorithm>
-#include <charconv>
+
+#include "protocol/number_text.hpp"
 
 namespace anisehold::config {
 namespace {
@@ -23,13 +24,12 @@
 }
 
 CellProblem read_number(const std::string& text, unsigned minimum, unsigned maximum, unsigned& target) {
-    unsigned value = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc{} || end != text.data() + text.size() || value < minimum || value > maximum) {
+    const auto value = parse_number<unsigned>(text);
+    if (!value || *value < minimum || *value > maximum) {
         return "\"" + text + "\" is not a whole number from " + std::to_string(minimum) + " to " +
                std::to_string(maximum);
     }
-    target = value;
+    target = *value;
     return std::nullopt;
 }
 
--- a/src/explain/failure_summary.hpp
+++ b/src/explain/failure_summary.hpp
@@ -29,9 +29,9 @@
     callerLeft,      /**< Its caller went away. */
     noConfiguration, /**< The daemon had none yet. */
     unauthorized,    /**< No key, or one that no tenant holds. */
-    keyUnproven,     /**< The daemon couldn't tell whether the key was in force. */
+    keyUnproven,     /**< The daemon couldn't know whether the key was in force. */
     quotaExceeded,   /**< The tenant had used up its quota. */
-    quotaUnknown,    /**< The daemon that counts the tenant's requests couldn't be asked. */
+    quotaUnknown,    /**< The daemon that counts the tenant's requests didn't answer. */
     other            /**< Named by the outcome in the log: bad input, for one. */
 };
 
--- a/src/hop/hop_header.cpp
+++ b/src/hop/hop_header.cpp
@@ -1,9 +1,10 @@
 #include "hop/hop_header.hpp"
 
 #include <array>
-#include <charconv>
 #include <map>
 
+#include "protocol/number_text.hpp"
+
 namespace anisehold::hop {
 namespace {
 
@@ -45,12 +46,9 @@
 template <typename Number>
 bool read(const Fields& fields, std::string_view name, Number& number) {
     const auto found = fields.find(name);
-    if (found == fields.end()) {
-        return false;
-    }
-    const auto* end = found->second.data() + found->second.size();
-    const auto result = std::from_chars(found->second.data(), end, number);
-    return result.ec == std::errc{} && result.ptr == end;
+    const auto parsed = found == fields.end() ? std::nullopt : parse_number<Number>(found->second);
+    number = parsed.value_or(Number{});
+    return parsed.has_value();
 }
 
 /// A number that isn't written where it is 0, as nearly always.
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -46,7 +46,7 @@
 struct ExchangeOptions {
     TimePoint deadline;
     CancelSignal* cancel = nullptr;
-    /// A header line that the answer must repeat; an answer without it belongs to another request.
+    /// A header line that the answer must echo; an answer without it belongs to another request.
     std::optional<HeaderField> expected_echo = std::nullopt;
     /// Connections that were idle for longer aren't used for this exchange.
     Duration longest_idle = Duration::max();
--- a/src/net/http_connection_pool.hpp
+++ b/src/net/http_connection_pool.hpp
@@ -59,7 +59,7 @@
     std::size_t open_ = 0;
 };
 
-/// Holds a connection for one exchange; returns it to the pool only when told that it is clean. An exchange
+/// Holds a connection for one exchange; returns it to the pool only after a clean one. An exchange
 /// that is given up resets its connection: a request that a broken link still holds back must not come to the
 /// peer later, when nobody waits for its answer.
 class HttpConnectionLease {
--- a/src/observability/events.hpp
+++ b/src/observability/events.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Numbered log events and the process's one log. Owns the catalogue (event_catalogue.cpp, which
-/// docs/EVENTS.md repeats), the form of lines, and the ring of recent ones; relies on log4cplus for output.
+/// docs/EVENTS.md lists), the form of lines, and the ring of recent ones; relies on log4cplus for output.
 /// Nothing waits for the log: its volume is bounded, and lines that don't fit are counted.
 #pragma once
 
--- a/src/observability/metrics.hpp
+++ b/src/observability/metrics.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// The daemon's metrics, in Prometheus' text format. Owns their names, help texts and values; docs/METRICS.md
-/// repeats the catalogue. Every label value that is counted stays for the life of the process.
+/// lists the same. Every label value that is counted stays for the life of the process.
 #pragma once
 
 #include <memory>
--- a/src/protocol/call_context.cpp
+++ b/src/protocol/call_context.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 #include <array>
-#include <charconv>
 
 #include "protocol/message_digest.hpp"
+#include "protocol/number_text.hpp"
 
 namespace anisehold {
 namespace {
@@ -50,12 +50,8 @@
 }
 
 std::optional<unsigned> parse_bounded(std::string_view text, unsigned maximum) {
-    unsigned value = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc{} || end != text.data() + text.size() || value > maximum) {
-        return std::nullopt;
-    }
-    return value;
+    const auto value = parse_number<unsigned>(text);
+    return value && *value <= maximum ? value : std::nullopt;
 }
 
 /// Splits `text` at ';' into exactly `Count` parts.
--- a/src/protocol/endpoint.cpp
+++ b/src/protocol/endpoint.cpp
@@ -2,7 +2,7 @@
 
 #include <arpa/inet.h>
 
-#include <charconv>
+#include "protocol/number_text.hpp"
 
 namespace anisehold {
 namespace {
@@ -26,19 +26,16 @@
         return std::nullopt;
     }
     auto host = text.substr(0, separator);
-    const auto port_text = text.substr(separator + 1);
     const bool bracketed = host.size() > 2 && host.front() == '[' && host.back() == ']';
     if (bracketed) {
         host = host.substr(1, host.size() - 2);
     }
-    Endpoint endpoint{std::string(host), 0};
-    const auto [end, error] =
-        std::from_chars(port_text.data(), port_text.data() + port_text.size(), endpoint.port);
-    const bool port_valid = error == std::errc{} && end == port_text.data() + port_text.size();
-    if (!port_valid || !is_address(bracketed ? AF_INET6 : AF_INET, endpoint.ip)) {
+    const auto port = parse_number<std::uint16_t>(text.substr(separator + 1));
+    const std::string ip(host);
+    if (!port || !is_address(bracketed ? AF_INET6 : AF_INET, ip)) {
         return std::nullopt;
     }
-    return endpoint;
+    return Endpoint{ip, *port};
 }
 
 }  // namespace anisehold
--- /dev/null
+++ b/src/protocol/number_text.hpp
@@ -0,0 +1,22 @@
+/// @file
+/// Numbers as text, where the whole text must be one. Pure.
+#pragma once
+
+#include <charconv>
+#include <optional>
+#include <string_view>
+#include <system_error>
+
+namespace anisehold {
+
+/// Nothing if the text is empty, holds anything else, or is out of the type's range. `base` is for whole
+/// numbers.
+template <typename Number, typename... Base>
+std::optional<Number> parse_number(std::string_view text, Base... base) {
+    Number number{};
+    const auto* end = text.data() + text.size();
+    const auto [stopped, error] = std::from_chars(text.data(), end, number, base...);
+    return error == std::errc{} && stopped == end ? std::optional(number) : std::nullopt;
+}
+
+}  // namespace anisehold
--- a/src/protocol/request_digest.cpp
+++ b/src/protocol/request_digest.cpp
@@ -6,6 +6,7 @@
 #include <charconv>
 
 #include "protocol/message_digest.hpp"
+#include "protocol/number_text.hpp"
 
 namespace anisehold {
 namespace {
@@ -20,13 +21,6 @@
     text.append(digits.data(), end);
 }
 
-std::optional<std::uint64_t> parse_half(std::string_view text) {
-    std::uint64_t value = 0;
-    const auto* end = text.data() + text.size();
-    const auto result = std::from_chars(text.data(), end, value, kHexadecimal);
-    return result.ec == std::errc{} && result.ptr == end ? std::optional(value) : std::nullopt;
-}
-
 }  // namespace
 
 std::string RequestDigest::text() const {
@@ -41,8 +35,8 @@
     if (text.size() != 2 * kHalfDigits) {
         return std::nullopt;
     }
-    const auto high = parse_half(text.substr(0, kHalfDigits));
-    const auto low = parse_half(text.substr(kHalfDigits));
+    const auto high = parse_number<std::uint64_t>(text.substr(0, kHalfDigits), kHexadecimal);
+    const auto low = parse_number<std::uint64_t>(text.substr(kHalfDigits), kHexadecimal);
     return high && low ? std::optional(RequestDigest{*high, *low}) : std::nullopt;
 }
 
--- a/src/protocol/stored_answer.hpp
+++ b/src/protocol/stored_answer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A small answer kept for a caller that repeats its key because the first answer was lost.
+/// A small answer kept for a caller that sends its key again because the first answer was lost.
 #pragma once
 
 #include <string>
