--- a/src/routing/handles/early_refusal_route.cpp
+++ b/src/daemon/handles/early_refusal_route.cpp
@@ -1,8 +1,9 @@
-#include "routing/handles/early_refusal_route.hpp"
+#include "daemon/handles/early_refusal_route.hpp"
 
 #include "protocol/retry_after.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
+
 CallResult EarlyRefusalRoute::route(Call& call) {
     const admission::ThrottledRow row{call.route.row.name, call.route.row.priority};
     const bool enabled = context_.has(config::Mechanism::kEarlyRefusal);
@@ -14,4 +15,4 @@
     return result;
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
