--- a/src/daemon/peer_messages.hpp
+++ b/src/daemon/peer_messages.hpp
@@ -1,6 +1,7 @@
 /// @file
 /// Messages between table daemons over TCP, and the authenticated encoding of those and of gossip datagrams.
-/// The order of the alternatives of `PeerRequest` and `PeerReply` is part of the encoding.
+/// Owns the list of requests and replies, whose order is on the wire; claims, retries and membership own
+/// their own messages. Pure.
 #pragma once
 
 #include <boost/variant.hpp>
@@ -19,7 +20,7 @@
 
 namespace anisehold::daemon {
 
-/// Asks for all member records; brings the asker's own one.
+/// Asks for all member records; brings the sender's own one.
 struct MembersRequest {
     std::vector<membership::MemberRecord> records;
 
@@ -83,7 +84,7 @@
     }
 };
 
-/// Says that a request was taken in and needs no other answer.
+/// The reply to a request that needs no other one.
 struct Acknowledged {
     template <typename Archive>
     void serialize(Archive& /*archive*/, unsigned /*version*/) {}
