--- a/src/routing/handles/ledger_route.cpp
+++ b/src/daemon/handles/ledger_route.cpp
@@ -1,15 +1,15 @@
-#include "routing/handles/ledger_route.hpp"
+#include "daemon/handles/ledger_route.hpp"
 
 #include <algorithm>
 
-#include "net/event_loop.hpp"
 #include "protocol/retry_after.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 namespace {
 
 using retry::DrawVerdict;
 
+/// How long the daemon with the home ledger is waited for. Chosen, not measured.
 constexpr milliseconds kPeerTimeout{500};
 
 std::optional<CallResult> refusal_for(DrawVerdict verdict) {
@@ -90,4 +90,4 @@
     }
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/routing/handles/server_route.cpp
+++ b/src/daemon/handles/server_route.cpp
@@ -1,4 +1,4 @@
-#include "routing/handles/server_route.hpp"
+#include "daemon/handles/server_route.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -6,12 +6,13 @@
 #include "protocol/retry_after.hpp"
 #include "routing/balancer.hpp"
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 namespace {
 
+/// Most servers that one attempt is sent to. Chosen, not measured.
 constexpr int kMostServers = 3;
 
-/// Whether it is known that nothing ran, so that another server may be tried at no risk.
+/// Whether it is known that nothing ran, so that the call may go to another server.
 bool may_go_elsewhere(const CallResult& result) {
     if (result.response || result.execution != Execution::kNotRun) {
         return false;
@@ -62,8 +63,8 @@
     auto result = CallResult::failure(ErrorKind::kNoBackend, retry_after::kNoServer);
     for (int attempt = 0; attempt < kMostServers; ++attempt) {
         const auto now = TimePoint::clock::now();
-        const auto chosen = choose_server(registry_.candidates(now, call.service, tried), context_.self.zone,
-                                          context_.random);
+        const auto chosen = routing::choose_server(registry_.candidates(now, call.service, tried),
+                                                   context_.self.zone, context_.random);
         if (!chosen) {
             return result;
         }
@@ -102,9 +103,6 @@
 
 CallResult ServerRoute::ask_remote_gate(Call& call, const Endpoint& server,
                                         const membership::MemberInfo& gate) {
-    if (context_.peer_faults.cut.contains(gate.peer)) {
-        return CallResult::failure(ErrorKind::kConnectFailed, retry_after::kNoServer);
-    }
     auto request = gate_request(call, server, context_.settings.daemon_mesh_key);
     net::ExchangeProgress progress;
     std::error_code error;
@@ -164,4 +162,4 @@
     return result;
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/daemon/ingress.cpp
+++ b/src/daemon/ingress.cpp
@@ -11,15 +11,15 @@
 namespace anisehold::daemon {
 namespace {
 
-using config::Mechanism;
 using observability::DecisionStep;
 using observability::Event;
 using observability::log_event;
-using routing::Call;
-using routing::CallResult;
 
+/// Hex digits of the ids that are made here, as in W3C trace context: a trace id and a span id.
 constexpr std::size_t kRootIdDigits = 32;
 constexpr std::size_t kCallIdDigits = 16;
+/// Longest timeout that a caller may ask for, and longest Retry-After that is reported, in milliseconds.
+/// Chosen, not measured.
 constexpr long long kMaxTimeoutMs = 3'600'000;
 
 /// The service named by the Host header, without a port.
@@ -70,7 +70,6 @@
     : context_(context),
       documents_(documents),
       gates_(gates),
-      registry_(registry),
       server_route_(context, membership, registry, gates),
       retry_route_(context, server_route_),
       claim_route_(context, claims, retry_route_),
@@ -153,8 +152,7 @@
     if (call.context.depth > kMaxDepth) {
         return finish(call, CallResult::failure(ErrorKind::kTooDeep));
     }
-    routing::RouteHandle& route =
-        call.is_root() ? static_cast<routing::RouteHandle&>(root_route_) : nested_route_;
+    RouteHandle& route = call.is_root() ? static_cast<RouteHandle&>(root_route_) : nested_route_;
     auto result = route.route(call);
     const bool unclaimed =
         call.is_root() && !call.route.row.repeatable && !call.context.dispatched_at_most_once;
--- a/src/protocol/peer_messages.hpp
+++ b/src/daemon/peer_messages.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Messages between daemons over TCP, and the authenticated encoding of those and of gossip datagrams.
+/// Messages between table daemons over TCP, and the authenticated encoding of those and of gossip datagrams.
+/// The order of the alternatives of `PeerRequest` and `PeerReply` is part of the encoding.
 #pragma once
 
 #include <boost/variant.hpp>
@@ -16,7 +17,7 @@
 #include "protocol/stored_answer.hpp"
 #include "retry/retry_ledger.hpp"
 
-namespace anisehold {
+namespace anisehold::daemon {
 
 /// Asks for all member records; brings the asker's own one.
 struct MembersRequest {
@@ -95,7 +96,7 @@
     boost::variant<Acknowledged, MembersReply, Document, claims::ClaimReply, claims::ClaimSyncReply,
                    claims::ClaimStatusReply, retry::DrawReply, AnswerReply, RevisionsReply>;
 
-/// Largest encoded message; a longer frame is refused unread.
+/// Largest encoded message, in bytes; a longer frame is refused unread. Chosen, not measured.
 inline constexpr std::size_t kMaxFrameBytes = 8 * 1024 * 1024;
 
 /// Encodes with a leading authentication code under `key`.
@@ -108,4 +109,4 @@
 std::optional<PeerRequest> decode_request(std::string_view bytes, std::string_view key);
 std::optional<PeerReply> decode_reply(std::string_view bytes, std::string_view key);
 
-}  // namespace anisehold
+}  // namespace anisehold::daemon
