--- a/src/membership/peer_directory.hpp
+++ b/src/membership/peer_directory.hpp
@@ -17,7 +17,7 @@
 /// How long a peer may be silent before it counts as unreachable, and as gone.
 struct PeerTimes {
     milliseconds silent_after{3'500};  ///< At least; in a large fleet it grows with the period of records.
-    milliseconds forgotten_after{600'000};
+    milliseconds forgotten_after{600'000};  ///< Chosen, not measured.
 };
 
 /// A server that requests can be sent to, with the age of what is known of it.
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -8,6 +8,12 @@
 
 // All chosen, not measured.
 
+/// Members that are asked to ping one that didn't answer.
+constexpr std::size_t kIndirectProbes = 3;
+/// Periods between two pings of a dead member and of seeds that aren't known as members.
+constexpr unsigned kRecontactPeriods = 10;
+/// Dead and left members are dropped after this.
+constexpr seconds kForgetAfter{3'600};
 /// Highest local health: a member that is this slow itself suspects others this many periods later.
 constexpr unsigned kMaxLocalHealth = 8;
 /// Members that a change of this one is announced to at once; gossip brings it to the others.
@@ -34,7 +40,7 @@
         ++periods_;
         end_probe(now);
         start_probe(now, out);
-        if (periods_ % config_.recontact_every_periods == 1) {
+        if (periods_ % kRecontactPeriods == 1) {
             recontact(out);
             forget_old(now);
         }
@@ -68,7 +74,7 @@
         return;
     }
     probe_->indirect_sent = true;
-    for (const auto& id : random_members(config_.indirect_probes, probe_->target)) {
+    for (const auto& id : random_members(kIndirectProbes, probe_->target)) {
         auto message = make_message(GossipType::kPingRequest, probe_->sequence, id);
         message.target.push_back(members_.others().at(probe_->target).record);
         out.push_back({peer_address(id), std::move(message)});
@@ -111,7 +117,7 @@
 }
 
 void Swim::forget_old(TimePoint now) {
-    members_.forget_gone(now, config_.forget_after_ms);
+    members_.forget_gone(now, kForgetAfter);
     std::erase_if(relays_,
                   [&](const auto& entry) { return now - entry.second.started_at >= 2 * config_.period_ms; });
 }
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -18,13 +18,10 @@
 
 namespace anisehold::membership {
 
-/// All but the period and the periods of suspicion are chosen, not measured.
+/// The settings `membership.*`.
 struct SwimConfig {
     milliseconds period_ms{500};
-    unsigned suspicion_periods = 6;           ///< In a small fleet; see `suspicion_timeout`.
-    unsigned indirect_probes = 3;             ///< Members that are asked to ping one that didn't answer.
-    unsigned recontact_every_periods = 10;    ///< How often a dead member or an unknown seed is pinged.
-    milliseconds forget_after_ms{3'600'000};  ///< Dead and left members are dropped after this.
+    unsigned suspicion_periods = 6;  ///< In a small fleet; see `suspicion_timeout`.
     std::vector<Endpoint> seeds;
 };
 
