--- a/src/admission/server_gate.hpp
+++ b/src/admission/server_gate.hpp
@@ -32,6 +32,7 @@
     TimePoint deadline;
 };
 
+/// kRefused: overloaded.
 enum class GateVerdict { kAdmitted, kQueued, kRefused };
 
 struct ArrivalDecision {
@@ -64,6 +65,7 @@
   public:
     ServerGate(std::unique_ptr<ConcurrencyLimit> limit, GateOptions options);
 
+    /// A call came: whether it runs now, waits or is refused.
     ArrivalDecision arrive(TimePoint now, const GateCall& call);
     /// Ends a dispatched call. Returns the waiting calls that run now.
     std::vector<std::uint64_t> finish(TimePoint now, std::uint64_t id, SampleOutcome outcome,
