--- a/src/claims/claim_tally.hpp
+++ b/src/claims/claim_tally.hpp
@@ -1,7 +1,9 @@
 /// @file
-/// The claimant's side: counts the holders' answers.
+/// The claimant's side: counts the holders' answers. Owns the counts of one claim.
 #pragma once
 
+#include <cstddef>
+
 #include "claims/claim_types.hpp"
 #include "claims/holder_view.hpp"
 
--- a/src/daemon/peer_service.hpp
+++ b/src/daemon/peer_service.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Answers other daemons' requests.
+/// Answers other daemons' requests over TCP. Owns the listener; a frame that isn't authentic is logged and
+/// closes the connection unanswered.
 #pragma once
 
 #include "daemon/claim_service.hpp"
@@ -7,8 +8,8 @@
 #include "daemon/document_service.hpp"
 #include "daemon/gate_service.hpp"
 #include "daemon/membership_service.hpp"
+#include "daemon/peer_messages.hpp"
 #include "net/frame_transport.hpp"
-#include "protocol/peer_messages.hpp"
 
 namespace anisehold::daemon {
 
--- a/tests/unit/membership/swim_test.cpp
+++ b/tests/unit/membership/swim_test.cpp
@@ -6,7 +6,7 @@
 #include <queue>
 #include <set>
 
-#include "protocol/peer_messages.hpp"
+#include "daemon/peer_messages.hpp"
 
 using namespace anisehold;
 using namespace anisehold::membership;
@@ -115,7 +115,7 @@
         for (const auto& datagram : datagrams) {
             const std::size_t to = datagram.to.port - 10'000U;
             if (count_bytes_) {
-                bytes_ += encode(datagram.message, "0123456789abcdef").size();
+                bytes_ += daemon::encode(datagram.message, "0123456789abcdef").size();
             }
             const bool lost = std::uniform_real_distribution<double>(0, 1)(random_) < loss_;
             const bool separated = mark_ && mark_(from) != mark_(to);
@@ -202,7 +202,7 @@
 TEST_CASE("a planned stop is known to all without suspicion") {
     Simulation simulation(30, 8);
     simulation.run(seconds(2));
-    simulation.swim(9).announce_self(TimePoint(std::chrono::hours(1)), MemberState::kLeaving);
+    simulation.swim(9).announce_self(MemberState::kLeaving);
     simulation.run(seconds(5));
     for (std::size_t observer = 0; observer < simulation.size(); ++observer) {
         CHECK(simulation.state_seen_by(observer, 9) == MemberState::kLeaving);
