--- a/src/daemon/document_service.cpp
+++ b/src/daemon/document_service.cpp
@@ -6,7 +6,6 @@
 #include "config/table.hpp"
 #include "net/event_loop.hpp"
 #include "observability/events.hpp"
-#include "routing/rendezvous.hpp"
 
 namespace anisehold::daemon {
 namespace {
@@ -82,19 +81,7 @@
 }
 
 bool DocumentService::is_store_reader() const {
-    std::vector<std::string> ids;
-    for (const auto& record : membership_.working_members()) {
-        if (record.info.zone == context_.self.zone) {
-            ids.push_back(record.info.id);
-        }
-    }
-    const auto order = routing::rendezvous_order(ids, "store-reader");
-    for (std::size_t rank = 0; rank < std::min(order.size(), kReadersPerZone); ++rank) {
-        if (ids[order[rank]] == context_.self.id) {
-            return true;
-        }
-    }
-    return false;
+    return membership_.is_among_first(kReadersPerZone, "store-reader", context_.self.zone);
 }
 
 void DocumentService::run_store_reader() {
@@ -151,12 +138,17 @@
     log_event(reachable ? Event::kStoreReachable : Event::kStoreUnreachable, {});
 }
 
+bool DocumentService::wants(std::size_t index, std::uint64_t revision) const {
+    if (revision > std::max(documents_[index].revision, rejected_[index])) {
+        return true;
+    }
+    const bool different = revision != documents_[index].revision && revision != 0;
+    return different && !context_.has(config::Mechanism::kRevisionOrder);
+}
+
 void DocumentService::offer(const Document& document, std::string_view source) {
     const auto index = index_of(document.kind);
-    const bool newer = document.revision > std::max(documents_[index].revision, rejected_[index]);
-    const bool different = document.revision != documents_[index].revision && document.revision != 0;
-    const bool takes_any = !context_.has(config::Mechanism::kRevisionOrder) && different;
-    if (!newer && !takes_any) {
+    if (!wants(index, document.revision)) {
         return;
     }
     const bool installed = document.kind == DocumentKind::kTable ? install_table(document, source)
@@ -210,10 +202,7 @@
     }
     for (const auto kind : {DocumentKind::kTable, DocumentKind::kHolderView}) {
         const auto index = index_of(kind);
-        const bool newer = revisions[index] > std::max(documents_[index].revision, rejected_[index]);
-        const bool older = revisions[index] != documents_[index].revision && revisions[index] != 0;
-        const bool wanted = newer || (!context_.has(config::Mechanism::kRevisionOrder) && older);
-        if (wanted && !fetching_[index]) {
+        if (wants(index, revisions[index]) && !fetching_[index]) {
             fetching_[index] = true;
             net::EventLoop::spawn([this, peer, kind] {
                 fetch_from(peer, kind);
--- a/src/daemon/document_service.hpp
+++ b/src/daemon/document_service.hpp
@@ -50,6 +50,8 @@
     void watch_store();
     void on_peer_revisions(const membership::MemberInfo& peer, const DocumentRevisions& revisions);
     void fetch_from(const membership::MemberInfo& peer, DocumentKind kind);
+    /// Whether a document of this revision replaces the copy that is held.
+    bool wants(std::size_t index, std::uint64_t revision) const;
     bool install_table(const Document& document, std::string_view source);
     bool install_holder_view(const Document& document, std::string_view source);
     void note_store_state(bool reachable);
--- a/src/daemon/holder_view_keeper.cpp
+++ b/src/daemon/holder_view_keeper.cpp
@@ -5,7 +5,6 @@
 
 #include "daemon/holder_members.hpp"
 #include "observability/events.hpp"
-#include "routing/rendezvous.hpp"
 
 namespace anisehold::daemon {
 namespace {
@@ -51,11 +50,12 @@
     const auto working = as_holders(membership_.working_members());
     const auto wished = claims::choose_holders(view.holders, working, kHoldersPerZone);
     const bool differs = wished != view.holders && !wished.empty();
-    if (differs && !is_keeper()) {
+    const bool is_keeper = membership_.is_among_first(1, "holder-view-keeper");
+    if (differs && !is_keeper) {
         // Looked at again, since the keeper may fail without any change here.
         review.seen_version = 0;
     }
-    if (!differs || !is_keeper() || context_.settings.platform_stores.empty()) {
+    if (!differs || !is_keeper || context_.settings.platform_stores.empty()) {
         review.wished_since.reset();
         return;
     }
@@ -67,15 +67,6 @@
     }
 }
 
-bool HolderViewKeeper::is_keeper() const {
-    std::vector<std::string> ids;
-    for (const auto& record : membership_.working_members()) {
-        ids.push_back(record.info.id);
-    }
-    const auto order = routing::rendezvous_order(ids, "holder-view-keeper");
-    return !order.empty() && ids[order.front()] == context_.self.id;
-}
-
 /// Whether the wished view differs from the present one only by members that announced their stop.
 bool HolderViewKeeper::is_planned(const std::vector<Holder>& wished) const {
     const auto& present = documents_.holder_view().holders;
--- a/src/daemon/holder_view_keeper.hpp
+++ b/src/daemon/holder_view_keeper.hpp
@@ -36,7 +36,6 @@
     };
 
     void review(Review& review);
-    bool is_keeper() const;
     bool is_planned(const std::vector<claims::Holder>& wished) const;
     bool serves(const claims::Holder& holder, std::uint64_t epoch);
     void propose(const std::vector<claims::Holder>& holders);
--- a/src/daemon/membership_service.cpp
+++ b/src/daemon/membership_service.cpp
@@ -110,6 +110,14 @@
     }
 }
 
+bool MembershipService::exchange_with(const Endpoint& peer) {
+    const auto reply = peers_.ask<MembersReply>(peer, MembersRequest{{swim_.self()}}, kExchangeTimeout);
+    if (reply) {
+        exchange_records(reply->records);
+    }
+    return reply.has_value();
+}
+
 void MembershipService::run_full_exchanges() {
     bool joined = context_.settings.membership_seeds.empty();
     while (!joined) {
@@ -117,12 +125,7 @@
             if (seed == context_.settings.daemon_peer) {
                 continue;
             }
-            const auto reply =
-                peers_.ask<MembersReply>(seed, MembersRequest{{swim_.self()}}, kExchangeTimeout);
-            if (reply) {
-                exchange_records(reply->records);
-                joined = true;
-            }
+            joined = exchange_with(seed) || joined;
         }
         boost::this_fiber::sleep_for(kJoinRetry);
     }
@@ -131,13 +134,8 @@
         boost::this_fiber::sleep_for(context_.jittered(period));
         period = std::min<Duration>(period * 2, kFullExchangePeriod);
         const auto peer = swim_.random_peer();
-        if (!peer) {
-            continue;
-        }
-        const auto reply =
-            peers_.ask<MembersReply>(peer->peer, MembersRequest{{swim_.self()}}, kExchangeTimeout);
-        if (reply) {
-            exchange_records(reply->records);
+        if (peer) {
+            exchange_with(peer->peer);
         }
     }
 }
@@ -183,6 +181,19 @@
     return working_;
 }
 
+bool MembershipService::is_among_first(std::size_t count, std::string_view duty,
+                                       std::optional<std::string_view> zone) const {
+    std::vector<std::string> ids;
+    for (const auto& record : working_members()) {
+        if (!zone || record.info.zone == *zone) {
+            ids.push_back(record.info.id);
+        }
+    }
+    const auto order = routing::rendezvous_order(ids, duty);
+    const auto end = order.begin() + static_cast<std::ptrdiff_t>(std::min(count, order.size()));
+    return std::any_of(order.begin(), end, [&](std::size_t index) { return ids[index] == context_.self.id; });
+}
+
 std::vector<const MemberInfo*> MembershipService::gate_members(const std::string& zone) const {
     const auto now = TimePoint::clock::now();
     std::vector<const MemberInfo*> reachable;
--- a/src/daemon/membership_service.hpp
+++ b/src/daemon/membership_service.hpp
@@ -32,6 +32,10 @@
     std::vector<membership::MemberRecord> records() const { return swim_.records(); }
     /// Members that take new work; kept until something changes.
     const std::vector<membership::MemberRecord>& working_members() const;
+    /// Whether this daemon has a duty that the first `count` working members have, of `zone` or of all zones,
+    /// by rendezvous hash.
+    bool is_among_first(std::size_t count, std::string_view duty,
+                        std::optional<std::string_view> zone = std::nullopt) const;
     /// Rises with each change of any member.
     std::uint64_t version() const { return swim_.version(); }
     /// Takes in a full list and returns the own one.
@@ -51,6 +55,8 @@
     void on_datagram(const Endpoint& from, std::string_view bytes);
     void run_ticks();
     void run_full_exchanges();
+    /// Asks for a full list and takes it in; false without an answer.
+    bool exchange_with(const Endpoint& peer);
     void report_events();
     bool is_unreachable(const std::string& id, TimePoint now) const;
     /// The members that gate servers of `zone`: working ones of that zone, else all working ones. Members
