--- a/src/admission/server_gate.hpp
+++ b/src/admission/server_gate.hpp
@@ -15,7 +15,6 @@
 #include <vector>
 
 #include "admission/concurrency_limit.hpp"
-#include "protocol/error_kind.hpp"
 #include "protocol/time_types.hpp"
 
 namespace anisehold::admission {
@@ -33,11 +32,11 @@
     TimePoint deadline;
 };
 
+/// kRefused: overloaded.
 enum class GateVerdict { kAdmitted, kQueued, kRefused };
 
 struct ArrivalDecision {
     GateVerdict verdict = GateVerdict::kAdmitted;
-    ErrorKind refusal = ErrorKind::kOverloaded;  ///< When refused.
     Duration retry_after{};                      ///< When refused: when a slot is expected to be free.
     std::optional<std::uint64_t> evicted;        ///< A waiting call that is refused in favour of this one.
     TimePoint give_up_at;  ///< When queued: latest moment at which it is still worth running.
@@ -66,6 +65,7 @@
   public:
     ServerGate(std::unique_ptr<ConcurrencyLimit> limit, GateOptions options);
 
+    /// A call came: whether it runs now, waits or is refused.
     ArrivalDecision arrive(TimePoint now, const GateCall& call);
     /// Ends a dispatched call. Returns the waiting calls that run now.
     std::vector<std::uint64_t> finish(TimePoint now, std::uint64_t id, SampleOutcome outcome,
--- a/src/sidecar/peer_exchange.cpp
+++ b/src/sidecar/peer_exchange.cpp
@@ -33,7 +33,6 @@
 /// And the peers' counts are waited for so long; ways between zones take some milliseconds. Chosen, not
 /// measured.
 constexpr milliseconds kOnsetHearing{60};
-constexpr double kShareOfPercent = 0.01;
 
 /// "route/rank:share ..." with shares of two digits, for the log.
 std::string text_of(const std::map<std::string, double>& shares) {
@@ -76,13 +75,13 @@
     record.uptime_ms = static_cast<std::uint32_t>(to_milliseconds(TimePoint::clock::now() - opened_));
     record.call = settings.advertised_hops;
     record.gossip = settings.advertised_gossip;
-    record.leaving = context_.leaving;
+    record.leaving = context_.stop.is_leaving();
     record.configuration_version = configuration_.version();
-    record.watches_store = context_.watches_store;
+    record.watches_store = context_.store.watches();
     record.client_routes = context_.origins.own_verdicts();
     context_.overload.measure_works();
     record.pressures = context_.overload.own_report();
-    record.servers = gate_.records(TimePoint::clock::now());
+    record.servers = gate_.servers().records(TimePoint::clock::now());
     return record;
 }
 
@@ -112,7 +111,7 @@
             boost::this_fiber::sleep_for(kOnsetHearing);
         }
         const auto now = TimePoint::clock::now();
-        gate_.expire(now);
+        gate_.servers().expire(now);
         directory_.expire(now);
         end_limit_period(now);
         // Half a near period early rather than half late.
@@ -136,23 +135,16 @@
 }
 
 overload::Utilizations PeerExchange::utilizations(TimePoint now) const {
-    std::map<std::string, double> taken;
-    std::map<std::string, double> slots;
+    std::map<std::string, overload::SlotCount> services;
     const auto add = [&](const membership::ServerRecord& server) {
-        // Slots of a server that fails are no capacity.
-        const double sound = kShareOfPercent * (100.0 - std::min(server.failed_percent, 100U));
-        taken[server.service] += sound * kShareOfPercent * server.busy_percent * server.limit;
-        slots[server.service] += sound * server.limit;
+        overload::addServer(services, server.service,
+                            {server.limit, server.busy_percent, server.failed_percent});
     };
     directory_.for_each_server(now, add);
-    for (const auto& own : gate_.records(now)) {
+    for (const auto& own : gate_.servers().records(now)) {
         add(own);
     }
-    overload::Utilizations utilizations;
-    for (const auto& [service, count] : slots) {
-        utilizations[service] = count > 0 ? taken[service] / count : 0;
-    }
-    return utilizations;
+    return overload::utilizationsOf(services);
 }
 
 void PeerExchange::end_limit_period(TimePoint now) {
@@ -210,8 +202,8 @@
 void PeerExchange::fetch_configuration(const Endpoint& peer, std::uint64_t version) {
     if (configuration_.version() != 0) {
         const std::chrono::duration<double> spread = kFetchSpread * context_.random_unit();
-        boost::this_fiber::sleep_for(context_.watches_store ? Duration(kWatcherFetchPause)
-                                                            : std::chrono::duration_cast<Duration>(spread));
+        boost::this_fiber::sleep_for(context_.store.watches() ? Duration(kWatcherFetchPause)
+                                                              : std::chrono::duration_cast<Duration>(spread));
     }
     if (configuration_.version() < version) {
         net::HttpClient client(context_.io, peer);
--- a/tests/unit/membership/swim_test.cpp
+++ b/tests/unit/membership/swim_test.cpp
@@ -9,6 +9,7 @@
 #include "daemon/peer_messages.hpp"
 
 using namespace anisehold;
+using namespace anisehold::daemon;
 using namespace anisehold::membership;
 
 namespace {
