--- a/src/admission/server_gate.hpp
+++ b/src/admission/server_gate.hpp
@@ -37,9 +37,9 @@
 
 struct ArrivalDecision {
     GateVerdict verdict = GateVerdict::kAdmitted;
-    Duration retry_after{};                      ///< When refused: when a slot is expected to be free.
-    std::optional<std::uint64_t> evicted;        ///< A waiting call that is refused in favour of this one.
-    TimePoint give_up_at;  ///< When queued: latest moment at which it is still worth running.
+    Duration retry_after{};                ///< When refused: when a slot is expected to be free.
+    std::optional<std::uint64_t> evicted;  ///< A waiting call that is refused in favour of this one.
+    TimePoint give_up_at;                  ///< When queued: latest moment at which it is still worth running.
 };
 
 /// A snapshot for reports and status pages.
