--- a/src/hop/hop_header.cpp
+++ b/src/hop/hop_header.cpp
@@ -1,9 +1,10 @@
 #include "hop/hop_header.hpp"
 
 #include <array>
-#include <charconv>
 #include <map>
 
+#include "protocol/number_text.hpp"
+
 namespace anisehold::hop {
 namespace {
 
@@ -11,6 +12,7 @@
 /// What a text field may not hold.
 constexpr std::string_view kReserved = ";\r\n";
 
+/// In the order of the enum.
 constexpr std::array<std::string_view, 4> kOutcomeNames{"answered", "not-sent", "refused-by-server",
                                                         "unknown"};
 
@@ -44,15 +46,12 @@
 template <typename Number>
 bool read(const Fields& fields, std::string_view name, Number& number) {
     const auto found = fields.find(name);
-    if (found == fields.end()) {
-        return false;
-    }
-    const auto* end = found->second.data() + found->second.size();
-    const auto result = std::from_chars(found->second.data(), end, number);
-    return result.ec == std::errc{} && result.ptr == end;
+    const auto parsed = found == fields.end() ? std::nullopt : parse_number<Number>(found->second);
+    number = parsed.value_or(Number{});
+    return parsed.has_value();
 }
 
-/// A number that is left out where it is 0, as nearly always.
+/// A number that isn't written where it is 0, as nearly always.
 bool read_unless_zero(const Fields& fields, std::string_view name, unsigned& number) {
     return !fields.contains(name) || read(fields, name, number);
 }
--- a/src/sidecar/peer_exchange.cpp
+++ b/src/sidecar/peer_exchange.cpp
@@ -75,13 +75,13 @@
     record.uptime_ms = static_cast<std::uint32_t>(to_milliseconds(TimePoint::clock::now() - opened_));
     record.call = settings.advertised_hops;
     record.gossip = settings.advertised_gossip;
-    record.leaving = context_.leaving;
+    record.leaving = context_.stop.is_leaving();
     record.configuration_version = configuration_.version();
-    record.watches_store = context_.watches_store;
+    record.watches_store = context_.store.watches();
     record.client_routes = context_.origins.own_verdicts();
     context_.overload.measure_works();
     record.pressures = context_.overload.own_report();
-    record.servers = gate_.records(TimePoint::clock::now());
+    record.servers = gate_.servers().records(TimePoint::clock::now());
     return record;
 }
 
@@ -111,7 +111,7 @@
             boost::this_fiber::sleep_for(kOnsetHearing);
         }
         const auto now = TimePoint::clock::now();
-        gate_.expire(now);
+        gate_.servers().expire(now);
         directory_.expire(now);
         end_limit_period(now);
         // Half a near period early rather than half late.
@@ -141,7 +141,7 @@
                             {server.limit, server.busy_percent, server.failed_percent});
     };
     directory_.for_each_server(now, add);
-    for (const auto& own : gate_.records(now)) {
+    for (const auto& own : gate_.servers().records(now)) {
         add(own);
     }
     return overload::utilizationsOf(services);
@@ -202,8 +202,8 @@
 void PeerExchange::fetch_configuration(const Endpoint& peer, std::uint64_t version) {
     if (configuration_.version() != 0) {
         const std::chrono::duration<double> spread = kFetchSpread * context_.random_unit();
-        boost::this_fiber::sleep_for(context_.watches_store ? Duration(kWatcherFetchPause)
-                                                            : std::chrono::duration_cast<Duration>(spread));
+        boost::this_fiber::sleep_for(context_.store.watches() ? Duration(kWatcherFetchPause)
+                                                              : std::chrono::duration_cast<Duration>(spread));
     }
     if (configuration_.version() < version) {
         net::HttpClient client(context_.io, peer);
--- a/src/sidecar/proof_keeper.cpp
+++ b/src/sidecar/proof_keeper.cpp
@@ -66,7 +66,7 @@
 }
 
 Duration ProofKeeper::own_read_age() const {
-    if (context_.watches_store) {
+    if (context_.store.watches()) {
         const std::chrono::duration<double> spread = kWatcherReadSpread * patience_;
         return kWatcherReadAge + std::chrono::duration_cast<Duration>(spread);
     }
@@ -87,7 +87,7 @@
         const bool read = read_once();
         patience_ = context_.random_unit();
         if (!read) {
-            const auto pause = context_.watches_store ? kWatcherRetryPause : kOwnRetryPause;
+            const auto pause = context_.store.watches() ? kWatcherRetryPause : kOwnRetryPause;
             const std::chrono::duration<double> jittered = pause * (0.5 + context_.random_unit());
             boost::this_fiber::sleep_for(std::chrono::duration_cast<Duration>(jittered));
         }
@@ -132,7 +132,7 @@
             request_proof();
         }
         const std::chrono::duration<double> period =
-            (is_old || context_.watches_store ? kOldProofRequestPeriod : kRequestPeriod) *
+            (is_old || context_.store.watches() ? kOldProofRequestPeriod : kRequestPeriod) *
             (0.9 + 0.2 * context_.random_unit());
         boost::this_fiber::sleep_for(std::chrono::duration_cast<Duration>(period));
     }
@@ -151,7 +151,7 @@
                 candidates.push_back(&member);
             }
         }
-        if (!candidates.empty() && !is_old && !context_.watches_store) {
+        if (!candidates.empty() && !is_old && !context_.store.watches()) {
             break;
         }
     }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -182,13 +182,13 @@
 void Sidecar::stop() {
     auto& context = parts_->context;
     log_event(Event::kStopping, {{"in_flight", std::to_string(parts_->calls.requests_in_flight())}});
-    context.stopping = true;
+    context.stop.begin();
     parts_->calls.begin_closing();
     const auto began = TimePoint::clock::now();
     const auto grace_ends = began + context.settings.stop_grace - kStopMargin;
     // The server beside goes on serving the fleet while this machine's callers turn away.
     boost::this_fiber::sleep_for(std::min<Duration>(kLeaveAfter, context.settings.stop_grace / 3));
-    context.leaving = true;
+    context.stop.leave();
     parts_->peers.announce();
     parts_->hops.begin_closing();
     boost::this_fiber::sleep_for(std::min<Duration>(kTurnAwayRest, context.settings.stop_grace / 10));
@@ -219,9 +219,9 @@
 }
 
 bool Sidecar::is_ready() const {
-    const bool knows_peers = parts_->follower.has_listed() || parts_->directory.known_count() > 0 ||
+    const bool knows_peers = parts_->context.store.has_listed() || parts_->directory.known_count() > 0 ||
                              TimePoint::clock::now() - parts_->started > kAloneAfter;
-    return !parts_->context.stopping && parts_->configuration.version() != 0 && knows_peers;
+    return !parts_->context.stop.has_begun() && parts_->configuration.version() != 0 && knows_peers;
 }
 
 bool Sidecar::receive_message(std::string_view bytes) {
@@ -279,7 +279,7 @@
         constexpr unsigned bad_request = 400;
         return net::make_response(bad_request, kTextType, problem + "\n");
     }
-    const auto change = parts_->gate.on_registration(TimePoint::clock::now(), *call);
+    const auto change = parts_->gate.servers().on_registration(TimePoint::clock::now(), *call);
     if (change != RegistryChange::kNone && change != RegistryChange::kRefreshed) {
         parts_->peers.announce();
     }
@@ -303,7 +303,7 @@
         return net::make_response(kNotFound, kTextType, "not found\n");
     }
     const auto now = TimePoint::clock::now();
-    for (const auto& server : parts_->gate.records(now)) {
+    for (const auto& server : parts_->gate.servers().records(now)) {
         parts_->context.metrics.set_gate(server.instance, {server.in_flight, server.queued, server.limit});
     }
     parts_->context.metrics.set_members("alive", parts_->directory.reachable_count(now));
@@ -334,13 +334,14 @@
 
 void Sidecar::find_server() {
     const auto found = ask_server_beside(parts_->context, *parts_->configuration.current());
-    if (found && parts_->gate.on_found(TimePoint::clock::now(), *found) == RegistryChange::kAppeared) {
+    if (found &&
+        parts_->gate.servers().on_found(TimePoint::clock::now(), *found) == RegistryChange::kAppeared) {
         parts_->peers.announce();
     }
 }
 
 void Sidecar::watch_settings() {
-    while (!parts_->context.stopping) {
+    while (!parts_->context.stop.has_begun()) {
         boost::this_fiber::sleep_for(kSettingsPeriod);
         note_suspension();
         reload_settings();
