--- a/src/routing/handles/retry_route.cpp
+++ b/src/daemon/handles/retry_route.cpp
@@ -1,13 +1,14 @@
-#include "routing/handles/retry_route.hpp"
+#include "daemon/handles/retry_route.hpp"
 
 #include <algorithm>
 #include <boost/fiber/operations.hpp>
 
-namespace anisehold::routing {
+namespace anisehold::daemon {
 namespace {
 
+/// Mean pause before a retry; jittered by half. Chosen, not measured.
 constexpr milliseconds kBackoff{10};
-/// While retries are left, an attempt may take this share of the remaining time.
+/// While retries are left, an attempt may take this share of the remaining time. Chosen, not measured.
 constexpr double kAttemptShare = 0.6;
 
 bool is_gateway_failure(unsigned status) {
@@ -65,4 +66,4 @@
     return !context_.has(config::Mechanism::kRetryEscrow) || budget_.try_retry(call.route.row.name);
 }
 
-}  // namespace anisehold::routing
+}  // namespace anisehold::daemon
--- a/src/daemon/peer_client.hpp
+++ b/src/daemon/peer_client.hpp
@@ -1,21 +1,21 @@
 /// @file
-/// Typed questions to other daemons.
+/// Typed requests to other daemons, over TCP. Owns its connections; relies on peer_messages for the encoding.
 #pragma once
 
 #include <optional>
 
 #include "daemon/daemon_context.hpp"
+#include "daemon/peer_messages.hpp"
 #include "net/frame_transport.hpp"
-#include "protocol/peer_messages.hpp"
 
 namespace anisehold::daemon {
 
-/// Sends peer requests over TCP.
 class PeerClient {
   public:
     explicit PeerClient(DaemonContext& context);
 
-    /// The reply of the expected type; nothing if none came in time or it was of another type.
+    /// The reply of the expected type; nothing if none came within `timeout`, it wasn't authentic, or it was
+    /// of another type. Blocks the fiber.
     template <typename Reply>
     std::optional<Reply> ask(const Endpoint& peer, const PeerRequest& request, Duration timeout) {
         auto reply = exchange(peer, request, timeout);
--- a/src/sidecar/gate_server.cpp
+++ b/src/sidecar/gate_server.cpp
@@ -39,7 +39,7 @@
         return std::nullopt;
     }
     if (decision.verdict == admission::GateVerdict::kRefused) {
-        return without_answer(HopOutcome::kNotSent, decision.refusal, decision.retry_after);
+        return without_answer(HopOutcome::kNotSent, ErrorKind::kOverloaded, decision.retry_after);
     }
     const auto waiter = std::make_shared<GateWaiter>();
     server.waiters[run.id] = waiter;
@@ -83,8 +83,8 @@
     selection::noteResult(server.failures, now, !good, kFailureSample);
 }
 
-void note_use(GateServer& server, TimePoint now) {
-    overload::noteValue(server.use, now, server.gate.load().in_flight);
+void note_running(GateServer& server, TimePoint now) {
+    overload::noteValue(server.running, now, server.gate.load().in_flight);
 }
 
 void fill_load(const GateServer& server, hop::HopResult& result) {
@@ -99,7 +99,7 @@
 }
 
 unsigned busy_percent(const GateServer& server, TimePoint now) {
-    const double busy = overload::meanOf(server.use, now) / std::max(1U, server.gate.load().limit);
+    const double busy = overload::meanOf(server.running, now) / std::max(1U, server.gate.load().limit);
     return static_cast<unsigned>(std::lround(busy * kPercent));
 }
 
--- a/src/sidecar/gate_server.hpp
+++ b/src/sidecar/gate_server.hpp
@@ -13,7 +13,7 @@
 #include "hop/hop_header.hpp"
 #include "net/fiber_event.hpp"
 #include "net/http_client.hpp"
-#include "overload/use_meter.hpp"
+#include "overload/time_weighted_mean.hpp"
 #include "protocol/request_digest.hpp"
 #include "selection/failure_share.hpp"
 #include "sidecar/attempt_outcome.hpp"
@@ -50,7 +50,7 @@
         : gate(std::move(limit), options), client(io, address, pool), crash(io, client) {}
 
     admission::ServerGate gate;
-    overload::UseMeter use;  ///< Of requests in flight.
+    overload::TimeWeightedMean running;  ///< Requests in flight.
     net::HttpClient client;
     CrashWatch crash;
     SuspectQueue suspects;
@@ -61,8 +61,8 @@
     connection::ConnectBackoff backoff;
 };
 
-/// Asks the server's gate for a slot and waits for it; what the request is refused with, if it is: the error
-/// of the gate's rule (`admission::ServerGate`), or `kQueueTimeout` if no slot became free in time or the
+/// Asks the server's gate (`admission::ServerGate`) for a slot and waits for it; what the request is refused
+/// with, if it is: `kOverloaded` if it may not wait, `kQueueTimeout` if no slot became free in time or the
 /// caller left. Blocks the fiber.
 std::optional<GateAnswer> wait_for_slot(GateServer& server, const GateRun& run);
 
@@ -73,7 +73,7 @@
 void note_end(GateServer& server, TimePoint started, TimePoint now, const GateAnswer& answer, bool cancelled);
 
 /// The number of requests in flight may have changed.
-void note_use(GateServer& server, TimePoint now);
+void note_running(GateServer& server, TimePoint now);
 
 /// Writes the server's load into the result that the caller's daemon gets.
 void fill_load(const GateServer& server, hop::HopResult& result);
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -94,13 +94,13 @@
         return false;
     }
     if (const auto* proof_request = boost::get<tenancy::ProofRequest>(&*message)) {
-        proofs.on_question(*proof_request);
+        proofs.on_request(*proof_request);
     } else if (const auto* proof_reply = boost::get<tenancy::ProofReply>(&*message)) {
-        proofs.on_answer(*proof_reply);
+        proofs.on_reply(*proof_reply);
     } else if (const auto* quota_request = boost::get<tenancy::QuotaRequest>(&*message)) {
-        quotas.on_question(*quota_request);
+        quotas.on_request(*quota_request);
     } else if (const auto* quota_reply = boost::get<tenancy::QuotaReply>(&*message)) {
-        quotas.on_answer(*quota_reply);
+        quotas.on_reply(*quota_reply);
     }
     return true;
 }
--- a/tests/incidents/chain_model.hpp
+++ b/tests/incidents/chain_model.hpp
@@ -18,7 +18,7 @@
 
 #include "admission/server_gate.hpp"
 #include "overload/root_limit.hpp"
-#include "overload/use_meter.hpp"
+#include "overload/time_weighted_mean.hpp"
 #include "retry/window_budget.hpp"
 
 namespace anisehold::model
@@ -78,7 +78,7 @@
     {
         ServerTerms terms;
         admission::ServerGate gate;
-        overload::UseMeter use;
+        overload::TimeWeightedMean running;
     };
 
     /** A request on its way. */
@@ -119,6 +119,9 @@
     void sendRequests (const RowTerms&);
     void beginRequest (const RowTerms&);
     void beginCall (const std::shared_ptr<Chain>&);
+    /** The server that the call hasn't tried and that is filled least; the number of servers if it tried all.
+     */
+    std::size_t leastFilled (const Call&) const;
     void tryServers (const std::shared_ptr<Call>&);
     void startWork (std::size_t server, const std::shared_ptr<Call>&);
     void endWork (std::size_t server, const std::shared_ptr<Call>&);
