--- a/src/cli/sidecar_command.cpp
+++ b/src/cli/sidecar_command.cpp
@@ -4,6 +4,7 @@
 #include <csignal>
 #include <iostream>
 
+#include "cli/exit_status.hpp"
 #include "cli/settings_options.hpp"
 #include "config/sidecar_settings.hpp"
 #include "net/event_loop.hpp"
@@ -15,10 +16,7 @@
 namespace anisehold::cli {
 namespace {
 
-constexpr int kDone = 0;
-constexpr int kFailed = 1;
-constexpr int kUsage = 2;
-/// Log lines are written in groups: each write costs a system call.
+/// Log lines are written in groups: each write costs a system call. Chosen, not measured.
 constexpr milliseconds kLogFlushPeriod{200};
 
 void flush_log_later() {
@@ -32,7 +30,7 @@
     // A changed settings file is noticed without a signal; the signal must only do no harm.
     std::signal(SIGHUP, SIG_IGN);
     net::EventLoop loop;
-    observability::start_logging(settings.log_level, "json", settings.name,
+    observability::start_logging(config::SidecarSettings::kLogLevel, "json", settings.name,
                                  observability::LogOutput::kStandardOutput);
     observability::set_log_scheduler(flush_log_later);
     const platform::Dialect dialect;
--- a/src/protocol/call_context.cpp
+++ b/src/protocol/call_context.cpp
@@ -2,13 +2,14 @@
 
 #include <algorithm>
 #include <array>
-#include <charconv>
 
 #include "protocol/message_digest.hpp"
+#include "protocol/number_text.hpp"
 
 namespace anisehold {
 namespace {
 
+// What is accepted in a header line: greater numbers and longer texts are malformed.
 constexpr std::size_t kRootIdLength = 32;
 constexpr std::size_t kCallIdLength = 16;
 constexpr std::size_t kMaxHomeLength = 64;
@@ -49,12 +50,8 @@
 }
 
 std::optional<unsigned> parse_bounded(std::string_view text, unsigned maximum) {
-    unsigned value = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc{} || end != text.data() + text.size() || value > maximum) {
-        return std::nullopt;
-    }
-    return value;
+    const auto value = parse_number<unsigned>(text);
+    return value && *value <= maximum ? value : std::nullopt;
 }
 
 /// Splits `text` at ';' into exactly `Count` parts.
