--- a/src/sidecar/gate_server.cpp
+++ b/src/sidecar/gate_server.cpp
@@ -83,7 +83,7 @@
     selection::noteResult(server.failures, now, !good, kFailureSample);
 }
 
-void note_use(GateServer& server, TimePoint now) {
+void note_running(GateServer& server, TimePoint now) {
     overload::noteValue(server.running, now, server.gate.load().in_flight);
 }
 
--- a/src/sidecar/local_gate.cpp
+++ b/src/sidecar/local_gate.cpp
@@ -54,7 +54,7 @@
     const auto turn = take_turn(*server, run);
     auto refused = admit(*server, run, turn.has_value());
     const auto started = TimePoint::clock::now();
-    note_use(*server, started);
+    note_running(*server, started);
     auto answer = refused ? std::move(*refused) : run_admitted(*server, run, request, started);
     answer.result.instance = call.instance;
     answer.result.crashes = crashes_.crashes_of(TimePoint::clock::now(), run.identity);
@@ -147,7 +147,7 @@
     note_end(server, started, now, answer, run.is_cancelled());
     const auto limit_before = server.gate.load().limit;
     free_slot(server, now, run.id, sample_of(answer));
-    note_use(server, now);
+    note_running(server, now);
     const auto load = server.gate.load();
     if (load.limit != limit_before) {
         log_event(Event::kGateLimitMoved, {{"server", run.call.instance},
