--- a/tests/unit/explain/failure_summary_test.cpp
+++ b/tests/unit/explain/failure_summary_test.cpp
@@ -37,23 +37,24 @@
         const char* attempts;
         FailureCause cause;
     };
-    const std::vector<Row> rows{ { "overloaded", "", FailureCause::refusedEarly },
-                                 { "overloaded", "i-1:not-sent/overloaded:1ms:age2", FailureCause::refusedAtGates },
-                                 { "queue-timeout", "", FailureCause::refusedAtGates },
-                                 { "no-backend", "", FailureCause::noServer },
-                                 { "no-backend", "i-1:not-sent/connect-failed:1ms:age2",
-                                   FailureCause::unreachable },
-                                 { "500", "i-1:500:1ms:age2", FailureCause::serverFailed },
-                                 { "backend-refused", "", FailureCause::serverDeclined },
-                                 { "outcome-unknown", "", FailureCause::outcomeUnknown },
-                                 { "deadline-exceeded", "", FailureCause::timeUp },
-                                 { "cancelled", "", FailureCause::callerLeft },
-                                 { "no-table", "", FailureCause::noConfiguration },
-                                 { "unauthorized", "", FailureCause::unauthorized },
-                                 { "key-unproven", "", FailureCause::keyUnproven },
-                                 { "quota-exceeded", "", FailureCause::quotaExceeded },
-                                 { "quota-unknown", "", FailureCause::quotaUnknown },
-                                 { "bad-request", "", FailureCause::other } };
+    const std::vector<Row> rows{
+        { "overloaded", "", FailureCause::refusedEarly },
+        { "overloaded", "i-1:not-sent/overloaded:1ms:age2", FailureCause::refusedAtGates },
+        { "queue-timeout", "", FailureCause::refusedAtGates },
+        { "no-backend", "", FailureCause::noServer },
+        { "no-backend", "i-1:not-sent/connect-failed:1ms:age2", FailureCause::unreachable },
+        { "500", "i-1:500:1ms:age2", FailureCause::serverFailed },
+        { "backend-refused", "", FailureCause::serverDeclined },
+        { "outcome-unknown", "", FailureCause::outcomeUnknown },
+        { "deadline-exceeded", "", FailureCause::timeUp },
+        { "cancelled", "", FailureCause::callerLeft },
+        { "no-table", "", FailureCause::noConfiguration },
+        { "unauthorized", "", FailureCause::unauthorized },
+        { "key-unproven", "", FailureCause::keyUnproven },
+        { "quota-exceeded", "", FailureCause::quotaExceeded },
+        { "quota-unknown", "", FailureCause::quotaUnknown },
+        { "bad-request", "", FailureCause::other }
+    };
 
     for (const auto& row : rows)
     {
