--- a/tests/unit/wire/store_golden_test.cpp
+++ b/tests/unit/wire/store_golden_test.cpp
@@ -3,6 +3,7 @@
 #include "claims/holder_view.hpp"
 #include "config/table.hpp"
 #include "sidecar/crash_exchange.hpp"
+#include "sidecar/member_listing.hpp"
 #include "sidecar/peer_exchange.hpp"
 #include "store/machine_list.hpp"
 #include "store/table_store.hpp"
@@ -219,6 +220,10 @@
     CHECK(read->callers == verdict.callers);
 }
 
+TEST_CASE("a sidecar registers under the same key", "[golden]") {
+    CHECK(sidecar::member_key("node-7") == "anisehold/members/node-7");
+}
+
 TEST_CASE("keys in the store and paths between daemons keep their names", "[golden]") {
     golden::check("store-keys.txt",
                   std::string(store::kTableKey) + '\n' + store::kHolderViewKey + '\n' +
