--- a/src/admission/adaptive_throttle.cpp
+++ b/src/admission/adaptive_throttle.cpp
@@ -6,9 +6,9 @@
 namespace anisehold::admission {
 namespace {
 
-/// The admitted priorities move once in this time. With these steps per window the goodput of one run of the
-/// benchmark all-at-once rose from 0.559 to 0.753, and its recovery time was 1.5 s (none within 7 s before);
-/// the single values are chosen, not measured.
+/// The admitted priorities move once in this time. With these steps per window the goodput of one run with an
+/// overload that begins all at once rose from 0.559 to 0.753, and service was back to 95 % after 1.5 s (not
+/// within 7 s before); the single values are chosen, not measured.
 constexpr milliseconds kWindow{100};
 /// Fall per window when all are refused, as a share of all priorities.
 constexpr double kFall = 0.25;
--- a/src/protocol/retry_after.hpp
+++ b/src/protocol/retry_after.hpp
@@ -26,9 +26,9 @@
 inline constexpr milliseconds kKeyUnproven{300};
 /// A client's request that the limit of root requests refuses: this, plus a random part of
 /// kRefusedEarlySpread, so that callers that were refused together don't come back together. Measured: the
-/// worth of an overloaded day (circoli-mesh-now-grown, scale-2) was 0.672 so, and 0.647 with up to four times
-/// as much when more was refused (docs/design/tenants.md). Without the spread a day's worth differed by
-/// -0.011 to +0.003, which is within the noise (docs/design/overload.md).
+/// worth of a day at 1.7 times the usual load was 0.672 so, and 0.647 with up to four times as much when more
+/// was refused (docs/design/tenants.md). Without the spread a day's worth differed by -0.011 to +0.003, which
+/// is within the noise (docs/design/overload.md).
 inline constexpr milliseconds kRefusedEarly{250};
 inline constexpr milliseconds kRefusedEarlySpread{500};
 /// A request of a tenant for which no owner of its quota answered: by then another owner has been found.
