--- a/src/admission/adaptive_throttle.cpp
+++ b/src/admission/adaptive_throttle.cpp
@@ -11,14 +11,14 @@
 /// within 7 s before); the single values are chosen, not measured.
 constexpr milliseconds kWindow{100};
 /// Fall per window when all are refused, as a share of all priorities.
-constexpr double kFall = 0.25;
+constexpr double kDecrease = 0.25;
 /// Rise per window without more refusals than tolerated, as a share of all priorities.
-constexpr double kRise = 0.1;
+constexpr double kIncrease = 0.1;
 /// Share of the admitted roots that may be refused further down: they show that there is capacity again.
 /// Chosen, not measured.
-constexpr double kTolerated = 0.15;
+constexpr double kToleratedRefusals = 0.15;
 /// Some of the most important are always admitted. In priorities. Chosen, not measured.
-constexpr double kLeastAdmitted = 0.1;
+constexpr double kMinAdmitted = 0.1;
 
 }  // namespace
 
@@ -32,17 +32,17 @@
     if (windows < 1) {
         return;
     }
-    const auto most = static_cast<double>(service.priorities.size());
+    const auto max_priorities = static_cast<double>(service.priorities.size());
     const double refused_share =
         service.ended == 0 ? 0.0 : static_cast<double>(service.refused) / service.ended;
-    if (refused_share > kTolerated) {
-        service.admitted_priorities -= kFall * most * refused_share;
+    if (refused_share > kToleratedRefusals) {
+        service.admitted_priorities -= kDecrease * max_priorities * refused_share;
     } else {
-        service.admitted_priorities += kRise * most;
+        service.admitted_priorities += kIncrease * max_priorities;
     }
     // Windows in which nothing ended count as windows without refusals.
-    service.admitted_priorities += kRise * most * static_cast<double>(windows - 1);
-    service.admitted_priorities = std::clamp(service.admitted_priorities, kLeastAdmitted, most);
+    service.admitted_priorities += kIncrease * max_priorities * static_cast<double>(windows - 1);
+    service.admitted_priorities = std::clamp(service.admitted_priorities, kMinAdmitted, max_priorities);
     service.window_started = now;
     service.ended = 0;
     service.refused = 0;
--- a/src/admission/origin_estimator.hpp
+++ b/src/admission/origin_estimator.hpp
@@ -26,10 +26,10 @@
     void on_peer_verdict(const std::vector<std::string>& client_routes);
     /// Whether clients are known to call the route, by own observation or a peer's.
     bool is_called_by_clients(const std::string& route) const;
-    /// Routes of which this daemon itself is sure; in order, at most `kMostVerdicts`.
+    /// Routes of which this daemon itself is sure; in order, at most `kMaxVerdicts`.
     std::vector<std::string> own_verdicts() const;
 
-    static constexpr std::size_t kMostVerdicts = 16;
+    static constexpr std::size_t kMaxVerdicts = 16;
 
   private:
     struct Arrivals {
@@ -37,7 +37,7 @@
         double expected_while_idle = 0;  ///< If the route were called by clients.
     };
 
-    static bool is_sure(const Arrivals& arrivals);
+    static bool is_conclusive(const Arrivals& arrivals);
     void advance(TimePoint now);
     double idle_share() const;
 
--- a/src/admission/policy/knee_limit.cpp
+++ b/src/admission/policy/knee_limit.cpp
@@ -12,15 +12,15 @@
 constexpr std::array<double, 3> kShares{1.0, 0.94, 0.88};
 /// Calls that began with fewer than this part of a step's limit in flight say nothing of it. Chosen, not
 /// measured.
-constexpr double kLeastFill = 0.9;
+constexpr double kMinFill = 0.9;
 /// Time after which a measured call counts half, in seconds: short, so that the shares are compared at about
 /// the same time. Chosen, not measured.
 constexpr double kHalfLifeS = 0.7;
 /// Calls that a step needs before it is compared. Times of calls scatter by about half of their mean; of 40
 /// the mean scatters by 8 %, worked out.
-constexpr double kLeastWeight = 40;
-/// A step below all slots must promise so much more: the scatter of kLeastWeight calls. Chosen, not measured.
-constexpr double kLeastGain = 1.08;
+constexpr double kMinWeight = 40;
+/// A step below all slots must promise so much more: the scatter of kMinWeight calls. Chosen, not measured.
+constexpr double kMinGain = 1.08;
 /// A lower limit is tried when as many calls as this were measured at the chosen one, and until as many were
 /// at its own: twice what a comparison needs, since it is made once only. Chosen, not measured.
 constexpr double kProbeWeight = 80;
@@ -28,8 +28,8 @@
 /// server without a knee loses one in two hundred of its calls. In a model of a saturated server of 20 slots
 /// that is 1.3 times as slow with all taken, 437 calls a second were completed without trials and 500 with
 /// them; of one without a knee 568 and 565.
-constexpr milliseconds kLongestProbe{400};
-constexpr milliseconds kProbePause{3'000};
+constexpr milliseconds kMaxProbe{400};
+constexpr milliseconds kProbeInterval{3'000};
 
 }  // namespace
 
@@ -47,7 +47,7 @@
     // The last step whose limit isn't passed; steps of few slots share a limit, and the first of them counts.
     const auto step = std::find_if(steps_.rbegin(), steps_.rend(),
                                    [&](const Step& each) { return sample.in_flight <= each.limit; });
-    if (step != steps_.rend() && sample.in_flight >= kLeastFill * step->limit) {
+    if (step != steps_.rend() && sample.in_flight >= kMinFill * step->limit) {
         step->weight += 1;
         step->total_us +=
             static_cast<double>(std::chrono::duration_cast<microseconds>(sample.latency).count());
@@ -61,7 +61,7 @@
 void KneeLimit::choose() {
     std::size_t best = 0;
     const double whole = throughput(steps_.front());
-    double most = whole * kLeastGain;
+    double most = whole * kMinGain;
     for (std::size_t index = 1; whole > 0 && index < kSteps; ++index) {
         const double promised = throughput(steps_.at(index));
         if (promised > most) {
@@ -78,7 +78,7 @@
             return;
         }
         is_probing_ = false;
-        next_probe_ = now + kProbePause;
+        next_probe_ = now + kProbeInterval;
         choose();
         return;
     }
@@ -86,16 +86,16 @@
     if (!has_next || now < next_probe_) {
         return;
     }
-    is_probing_ = steps_.at(chosen_).weight >= kProbeWeight && steps_.at(chosen_ + 1).weight < kLeastWeight;
-    probe_ends_ = now + kLongestProbe;
+    is_probing_ = steps_.at(chosen_).weight >= kProbeWeight && steps_.at(chosen_ + 1).weight < kMinWeight;
+    probe_ends_ = now + kMaxProbe;
 }
 
 void KneeLimit::fade(TimePoint now) {
     if (faded_ == TimePoint{}) {
         faded_ = now;
     }
-    const std::chrono::duration<double> passed = now - faded_;
-    const double kept = std::exp2(-passed.count() / kHalfLifeS);
+    const std::chrono::duration<double> elapsed = now - faded_;
+    const double kept = std::exp2(-elapsed.count() / kHalfLifeS);
     for (auto& step : steps_) {
         step.weight *= kept;
         step.total_us *= kept;
@@ -104,7 +104,7 @@
 }
 
 double KneeLimit::throughput(const Step& step) {
-    return step.weight < kLeastWeight ? 0 : step.limit * step.weight / std::max(1.0, step.total_us);
+    return step.weight < kMinWeight ? 0 : step.limit * step.weight / std::max(1.0, step.total_us);
 }
 
 }  // namespace anisehold::admission
--- a/src/admission/server_gate.cpp
+++ b/src/admission/server_gate.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 /// Calls that may wait whatever the limit. Chosen, not measured.
-constexpr std::size_t kLeastQueueCapacity = 16;
-constexpr unsigned kLeastImportant = 9;
+constexpr std::size_t kMinQueueCapacity = 16;
+constexpr unsigned kLowestPriority = 9;
 /// Weight of a new sample in the moving means, as a divisor. Chosen, not measured.
 constexpr int kAverageDivisor = 16;
 /// A call is only started if it has this many mean service times left: one that runs out of time on the
@@ -107,7 +107,7 @@
 }
 
 std::optional<TimePoint> ServerGate::next_release(TimePoint now) const {
-    return queue_.empty() || !is_held_by_rate() ? std::nullopt : std::optional(now + rate_.wait(now, 0));
+    return queue_.empty() || !is_rate_limited() ? std::nullopt : std::optional(now + rate_.wait(now, 0));
 }
 
 unsigned ServerGate::usable_limit(TimePoint now) const {
@@ -121,7 +121,7 @@
 
 unsigned ServerGate::admitted_priority() const {
     if (queue_.size() < queue_capacity()) {
-        return kLeastImportant;
+        return kLowestPriority;
     }
     unsigned worst = 0;
     for (const auto& waiting : queue_) {
@@ -181,7 +181,7 @@
 
 std::size_t ServerGate::queue_capacity() const {
     const auto by_limit = static_cast<std::size_t>(options_.queue_per_limit * limit_->limit());
-    return std::max(kLeastQueueCapacity, by_limit);
+    return std::max(kMinQueueCapacity, by_limit);
 }
 
 Duration ServerGate::expected_wait(std::size_t position) const {
--- a/src/admission/server_gate.hpp
+++ b/src/admission/server_gate.hpp
@@ -85,7 +85,7 @@
     /// call takes.
     unsigned usable_limit(TimePoint now) const;
     /// Whether calls wait, or are refused, because of the server's rate: slots are free.
-    bool is_held_by_rate() const { return rate_.limit() && running_.size() < limit_->limit(); }
+    bool is_rate_limited() const { return rate_.limit() && running_.size() < limit_->limit(); }
     /// The rate that the server takes, as far as its answers name one.
     ServerRate& rate() { return rate_; }
     const ServerRate& rate() const { return rate_; }
--- a/src/admission/server_rate.cpp
+++ b/src/admission/server_rate.cpp
@@ -10,11 +10,11 @@
 /// to what the server gets in four seconds.
 constexpr double kBurstS = 0.25;
 /// Whole requests are sent, also where the limit allows less than one in `kBurstS`.
-constexpr double kLeastBurst = 1;
+constexpr double kMinBurst = 1;
 /// One request in four seconds is sent whatever the limit: without an answer its end would never be known.
-constexpr double kLeastRatePerS = 0.25;
+constexpr double kMinRatePerS = 0.25;
 /// A limit that nothing has confirmed for this time doesn't keep callers away any more.
-constexpr milliseconds kConfirmedFor{1'000};
+constexpr milliseconds kConfirmationLifetime{1'000};
 
 double seconds_of(Duration duration) {
     return std::chrono::duration<double>(duration).count();
@@ -23,25 +23,25 @@
 }  // namespace
 
 double ServerRate::rate_per_s() const {
-    return std::max(per_second(*limit_), kLeastRatePerS);
+    return std::max(per_second(*limit_), kMinRatePerS);
 }
 
 double ServerRate::tokens_at(TimePoint now) const {
-    const double most = std::max(kLeastBurst, kBurstS * rate_per_s());
-    return std::min(most, tokens_ + rate_per_s() * seconds_of(now - filled_));
+    const double max_tokens = std::max(kMinBurst, kBurstS * rate_per_s());
+    return std::min(max_tokens, tokens_ + rate_per_s() * seconds_of(now - refilled_at_));
 }
 
 RateChange ServerRate::take(TimePoint now, RequestRate rate) {
-    named_ = now;
+    last_named_ = now;
     confirmed_ = now;
     if (limit_ == rate) {
         return RateChange::kNone;
     }
     const bool began = !limit_;
-    tokens_ = began ? kLeastBurst : tokens_at(now);
-    filled_ = now;
+    tokens_ = began ? kMinBurst : tokens_at(now);
+    refilled_at_ = now;
     limit_ = rate;
-    return began ? RateChange::kBegan : RateChange::kMoved;
+    return began ? RateChange::kStarted : RateChange::kChanged;
 }
 
 RateChange ServerRate::on_answer(TimePoint now, TimePoint sent, std::optional<RequestRate> named) {
@@ -49,7 +49,7 @@
     if (named) {
         return take(now, *named);
     }
-    if (!limit_ || sent < named_) {
+    if (!limit_ || sent < last_named_) {
         return RateChange::kNone;
     }
     limit_.reset();
@@ -72,12 +72,12 @@
 void ServerRate::on_sent(TimePoint now) {
     if (limit_) {
         tokens_ = tokens_at(now) - 1;
-        filled_ = now;
+        refilled_at_ = now;
     }
 }
 
 std::optional<unsigned> ServerRate::concurrency(TimePoint now, Duration held) const {
-    if (!limit_ || held <= Duration::zero() || now - confirmed_ > kConfirmedFor) {
+    if (!limit_ || held <= Duration::zero() || now - confirmed_ > kConfirmationLifetime) {
         return std::nullopt;
     }
     return std::max(1U, static_cast<unsigned>(std::ceil(rate_per_s() * seconds_of(held))));
--- a/src/admission/server_rate.hpp
+++ b/src/admission/server_rate.hpp
@@ -15,7 +15,7 @@
 namespace anisehold::admission {
 
 /// What an answer, or a caller's report, changed.
-enum class RateChange { kNone, kBegan, kMoved, kEnded };
+enum class RateChange { kNone, kStarted, kChanged, kEnded };
 
 /// The rate limit of one start of a server. Without one, every request may be sent.
 class ServerRate {
@@ -30,7 +30,7 @@
     /// The limit in force.
     const std::optional<RequestRate>& limit() const { return limit_; }
     /// Time since the limit in force was last named; 0 without one.
-    Duration age(TimePoint now) const { return limit_ ? now - named_ : Duration::zero(); }
+    Duration age(TimePoint now) const { return limit_ ? now - last_named_ : Duration::zero(); }
     /// How long until the request that waits behind `before` others may be sent; 0 without a limit.
     Duration wait(TimePoint now, std::size_t before) const;
     bool may_send(TimePoint now) const { return wait(now, 0) <= Duration::zero(); }
@@ -49,10 +49,10 @@
 
     std::optional<RequestRate> limit_;
     bool has_answered_ = false;  ///< An answer of the server was read here.
-    TimePoint named_;
+    TimePoint last_named_;
     TimePoint confirmed_;
     double tokens_ = 0;
-    TimePoint filled_;  ///< When `tokens_` was right.
+    TimePoint refilled_at_;  ///< When `tokens_` was right.
 };
 
 }  // namespace anisehold::admission
--- a/src/connection/idle_limit.hpp
+++ b/src/connection/idle_limit.hpp
@@ -16,38 +16,39 @@
 /** What was learned of one server. */
 struct IdleLimit
 {
-    Duration longest = Duration::max(); /**< As of `changed`; no limit at first. */
+    Duration maxIdle = Duration::max(); /**< As of `changed`; no limit at first. */
     TimePoint changed;
 };
 
 /** No limit is learned below this: a pause between two requests isn't idleness. Chosen, not measured. */
-inline constexpr milliseconds leastIdle{ 20 };
+inline constexpr milliseconds minIdle{ 20 };
 /** Divisor of the idle time after which a connection was lost: what is left of it is taken for safe. Chosen,
     not measured. */
-inline constexpr int safePart = 4;
+inline constexpr int safeIdleDivisor = 4;
 /** Time without a loss in which the limit doubles. Chosen, not measured. */
 inline constexpr seconds idleDoubling{ 5 };
 /** Doublings after which there is no limit any more. Chosen, not measured. */
-inline constexpr int mostDoublings = 8;
+inline constexpr int maxDoublings = 8;
 
 /** How long a connection may have been idle now. */
-inline Duration longestIdle (const IdleLimit& limit, TimePoint now)
+inline Duration currentMaxIdle (const IdleLimit& limit, TimePoint now)
 {
-    if (limit.longest == Duration::max())
-        return limit.longest;
+    if (limit.maxIdle == Duration::max())
+        return limit.maxIdle;
 
     const auto doublings = (now - limit.changed) / idleDoubling;
 
-    if (doublings >= mostDoublings)
+    if (doublings >= maxDoublings)
         return Duration::max();
 
-    return limit.longest * (1LL << doublings);
+    return limit.maxIdle * (1LL << doublings);
 }
 
 /** A connection that had been idle for `idle` was lost when it was used again. */
-inline void noteLost (IdleLimit& limit, TimePoint now, Duration idle)
+inline void recordLostConnection (IdleLimit& limit, TimePoint now, Duration idle)
 {
-    limit.longest = std::max<Duration> (std::min (longestIdle (limit, now), idle / safePart), leastIdle);
+    limit.maxIdle =
+        std::max<Duration> (std::min (currentMaxIdle (limit, now), idle / safeIdleDivisor), minIdle);
     limit.changed = now;
 }
 
--- a/src/discovery/missing_registrations.hpp
+++ b/src/discovery/missing_registrations.hpp
@@ -26,14 +26,14 @@
 /** What the last listing lacked. */
 struct MissingRegistrations
 {
-    std::set<std::string> lacked;
+    std::set<std::string> absent;
 };
 
 /** Takes in a listing; returns those of `expected` that this one and the last one lack. */
-inline std::vector<std::string> takeListing (MissingRegistrations& state, const std::set<std::string>& listed,
+inline std::vector<std::string> findMissing (MissingRegistrations& state, const std::set<std::string>& listed,
                                              const std::vector<std::string>& expected)
 {
-    std::set<std::string> lacked;
+    std::set<std::string> absent;
     std::vector<std::string> missing;
 
     for (const auto& it : expected)
@@ -41,13 +41,13 @@
         if (listed.contains (it))
             continue;
 
-        lacked.insert (it);
+        absent.insert (it);
 
-        if (state.lacked.contains (it))
+        if (state.absent.contains (it))
             missing.push_back (it);
     }
 
-    state.lacked = std::move (lacked);
+    state.absent = std::move (absent);
     return missing;
 }
 
--- a/src/discovery/registration_ages.hpp
+++ b/src/discovery/registration_ages.hpp
@@ -42,8 +42,8 @@
 inline constexpr seconds registrationLifetime{ 4 * registrationPeriod };
 
 /** Takes in a whole listing; returns the registrations that nobody has written for their lifetime. */
-inline std::vector<Registration> takeListing (RegistrationAges& ages, TimePoint now,
-                                              const std::vector<Registration>& listing)
+inline std::vector<Registration> findAbandoned (RegistrationAges& ages, TimePoint now,
+                                                const std::vector<Registration>& listing)
 {
     std::map<std::string, RegistrationAges::Seen> seen;
     std::vector<Registration> abandoned;
--- a/src/discovery/watch_role.cpp
+++ b/src/discovery/watch_role.cpp
@@ -13,18 +13,18 @@
 constexpr const char* rankingKey = "configuration-watch";
 /** Least time without a working watch before a daemon stands in: a watch that was cut is open again sooner.
     Chosen, not measured. */
-constexpr milliseconds leastPatience{ 2'000 };
+constexpr milliseconds minStandInDelay{ 2'000 };
 /** Share of the spread per known peer: the fleet makes at most 25 such attempts a second.
     Chosen, not measured. */
 constexpr milliseconds spreadPerPeer{ 40 };
 /** A fleet of any size finds a stand-in within this time. Chosen, not measured. */
-constexpr milliseconds longestSpread{ 10'000 };
+constexpr milliseconds maxSpread{ 10'000 };
 
-Duration drawPatience (std::size_t knownPeers, const UnitRandom& random)
+Duration drawStandInDelay (std::size_t knownPeers, const UnitRandom& random)
 {
     const auto byFleet = spreadPerPeer * static_cast<long long> (knownPeers);
-    const std::chrono::duration<double> spread = std::min<Duration> (byFleet, longestSpread);
-    return leastPatience + std::chrono::duration_cast<Duration> (spread * random());
+    const std::chrono::duration<double> spread = std::min<Duration> (byFleet, maxSpread);
+    return minStandInDelay + std::chrono::duration_cast<Duration> (spread * random());
 }
 
 } // namespace
@@ -56,17 +56,17 @@
     return static_cast<std::size_t> (ahead) < watchersPerZone;
 }
 
-WatchRole reviewRole (WatchState& state, TimePoint now, const WatchView& view, const UnitRandom& random)
+WatchRole updateRole (WatchState& state, TimePoint now, const WatchView& view, const UnitRandom& random)
 {
-    if (view.peerWatches || state.patience == Duration::zero())
+    if (view.hasPeerWatch || state.standInDelay == Duration::zero())
     {
         state.lastPeerWatch = now;
-        state.patience = drawPatience (view.knownPeers, random);
+        state.standInDelay = drawStandInDelay (view.knownPeers, random);
     }
 
     if (isAppointed (view.ownName, view.zonePeers))
         state.role = WatchRole::appointed;
-    else if (! view.peerWatches && now - state.lastPeerWatch >= state.patience)
+    else if (! view.hasPeerWatch && now - state.lastPeerWatch >= state.standInDelay)
         state.role = WatchRole::standIn;
     else
         state.role = WatchRole::none;
@@ -74,10 +74,10 @@
     return state.role;
 }
 
-void noteFailedTry (WatchState& state, TimePoint now)
+void recordFailedAttempt (WatchState& state, TimePoint now)
 {
     state.lastPeerWatch = now;
-    state.patience = Duration::zero();
+    state.standInDelay = Duration::zero();
 }
 
 } // namespace anisehold::discovery
--- a/src/discovery/watch_role.hpp
+++ b/src/discovery/watch_role.hpp
@@ -39,7 +39,7 @@
     std::string ownName;
     std::vector<std::string> zonePeers; /**< Reachable members of the own zone, without itself. */
     std::size_t knownPeers = 0;         /**< Of all zones. */
-    bool peerWatches = false;           /**< A reachable peer of the own zone has a working watch. */
+    bool hasPeerWatch = false;          /**< A reachable peer of the own zone has a working watch. */
 };
 
 /** What one daemon remembers between two reviews of its role. */
@@ -47,7 +47,7 @@
 {
     WatchRole role = WatchRole::none;
     TimePoint lastPeerWatch; /**< When a peer last had a working watch, or a stand-in's attempt failed. */
-    Duration patience{};     /**< How long after that this daemon stands in; 0 until it is drawn. */
+    Duration standInDelay{}; /**< How long after that this daemon stands in; 0 until it is drawn. */
 };
 
 /** Watchers in each zone: one may be gone without its zone noticing. Chosen, not measured. */
@@ -57,9 +57,9 @@
 bool isAppointed (const std::string& ownName, const std::vector<std::string>& zonePeers);
 
 /** Reviews the role. A stand-in goes on until a peer has a working watch. */
-WatchRole reviewRole (WatchState&, TimePoint now, const WatchView&, const UnitRandom&);
+WatchRole updateRole (WatchState&, TimePoint now, const WatchView&, const UnitRandom&);
 
 /** The store didn't serve a stand-in: it waits again before its next attempt. */
-void noteFailedTry (WatchState&, TimePoint now);
+void recordFailedAttempt (WatchState&, TimePoint now);
 
 } // namespace anisehold::discovery
--- a/src/overload/admitted_share.hpp
+++ b/src/overload/admitted_share.hpp
@@ -17,6 +17,6 @@
 inline constexpr double targetUtilization = 0.99;
 
 /** Moves the share by what a period of `periodS` seconds has shown. */
-void moveAdmittedShare (ServiceState&, const FleetCounts&, double utilization, double periodS);
+void updateAdmittedShare (ServiceState&, const FleetCounts&, double utilization, double periodS);
 
 } // namespace anisehold::overload
--- a/src/overload/capacity_share.cpp
+++ b/src/overload/capacity_share.cpp
@@ -13,9 +13,9 @@
     with what that one lacks, so that a small shortage hardly moves anything, from a least part to a most.
     Without it the lower ones get nothing, whatever little they need; with more the first one pays too much
     (docs/design/capacity-and-retries.md). */
-constexpr double keptPerLack = 1.0;
-constexpr double leastKept = 0.08;
-constexpr double mostKept = 0.25;
+constexpr double reservedPerShortfall = 1.0;
+constexpr double minReserved = 0.08;
+constexpr double maxReserved = 0.25;
 
 /** Indices of the demands of one priority, the least first. */
 using PriorityClass = std::vector<std::size_t>;
@@ -34,7 +34,7 @@
     return classes;
 }
 
-double wholeOf (const std::vector<RowDemand>& demands, const PriorityClass& rows)
+double totalWork (const std::vector<RowDemand>& demands, const PriorityClass& rows)
 {
     double whole = 0;
 
@@ -46,7 +46,7 @@
 
 /** What a priority with this demand leaves of the capacity to those below, whose demand is `lowerDemand`.
     They never get a greater share of theirs. */
-double keptForLower (double capacity, double demand, double lowerDemand)
+double reservedForLower (double capacity, double demand, double lowerDemand)
 {
     const double whole = demand + lowerDemand;
 
@@ -54,7 +54,7 @@
         return lowerDemand;
 
     const double lack = demand > 0 ? std::max (0.0, 1 - capacity / demand) : 0;
-    const double kept = capacity * std::clamp (keptPerLack * lack, leastKept, mostKept);
+    const double kept = capacity * std::clamp (reservedPerShortfall * lack, minReserved, maxReserved);
     return std::min (kept, capacity * lowerDemand / whole);
 }
 
@@ -82,13 +82,13 @@
     double lower = 0;
 
     for (const auto& [priority, rows] : classes)
-        lower += wholeOf (demands, rows);
+        lower += totalWork (demands, rows);
 
     for (const auto& [priority, rows] : classes)
     {
-        const double demand = wholeOf (demands, rows);
+        const double demand = totalWork (demands, rows);
         lower = std::max (0.0, lower - demand);
-        const double given = std::min (demand, capacity - keptForLower (capacity, demand, lower));
+        const double given = std::min (demand, capacity - reservedForLower (capacity, demand, lower));
         shareEqually (demands, rows, given, shares);
         capacity -= given;
     }
--- a/src/overload/pressure_report.cpp
+++ b/src/overload/pressure_report.cpp
@@ -52,8 +52,8 @@
 }
 
 /** Takes in new counts of a daemon. A restarted one counts from zero again. */
-void takeReport (ServiceState& service, TimePoint now, const std::string& daemon,
-                 const ServicePressure& report)
+void applyReport (ServiceState& service, TimePoint now, const std::string& daemon,
+                  const ServicePressure& report)
 {
     auto& counts = service.reports[daemon];
     const bool isRestarted = report.ended < counts.ended || report.refused < counts.refused;
@@ -68,7 +68,7 @@
     counts.reported = now;
 }
 
-void takeWorks (ServiceState& service, const std::vector<RowWork>& reported)
+void applyRowWork (ServiceState& service, const std::vector<RowWork>& reported)
 {
     for (const auto& it : reported)
     {
@@ -81,7 +81,7 @@
 
 } // namespace
 
-void noteCallEnded (RootLimitState& state, const std::string& service, bool refused)
+void recordCallEnded (RootLimitState& state, const std::string& service, bool refused)
 {
     auto& it = state.services[service];
     ++it.ended;
@@ -89,14 +89,14 @@
     it.isRefusing = it.isRefusing || refused;
 }
 
-void setOwnWorks (RootLimitState& state, const std::string& service, std::vector<RowWork> works)
+void setOwnRowWork (RootLimitState& state, const std::string& service, std::vector<RowWork> works)
 {
     auto& it = state.services[service];
-    takeWorks (it, works);
-    it.ownWorks = std::move (works);
+    applyRowWork (it, works);
+    it.ownRowWork = std::move (works);
 }
 
-double knownWork (const RootLimitState& state, const std::string& service, const std::string& row)
+double knownRowWork (const RootLimitState& state, const std::string& service, const std::string& row)
 {
     const auto found = state.services.find (service);
 
@@ -107,16 +107,16 @@
     return work == found->second.works.end() ? 0 : work->second;
 }
 
-void notePeerReport (RootLimitState& state, TimePoint now, const std::string& peer,
-                     const std::vector<ServicePressure>& reports)
+void recordPeerReport (RootLimitState& state, TimePoint now, const std::string& peer,
+                       const std::vector<ServicePressure>& reports)
 {
     for (const auto& it : reports)
     {
         auto& service = state.services[it.service];
         service.rows.insert (it.rows.begin(), it.rows.end());
         service.isRefusing = service.isRefusing || it.recentRefused > 0;
-        takeWorks (service, it.works);
-        takeReport (service, now, peer, it);
+        applyRowWork (service, it.works);
+        applyReport (service, now, peer, it);
     }
 }
 
@@ -131,16 +131,16 @@
 
         reports.push_back (ownCounts (state, name, service));
         reports.back().rows.assign (service.rows.begin(), service.rows.end());
-        reports.back().works = service.ownWorks;
+        reports.back().works = service.ownRowWork;
     }
 
     return reports;
 }
 
-FleetCounts closeCounts (const RootLimitState& state, TimePoint now, const std::string& name,
-                         ServiceState& service)
+FleetCounts sumFleetCounts (const RootLimitState& state, TimePoint now, const std::string& name,
+                            ServiceState& service)
 {
-    takeReport (service, now, state.ownName, ownCounts (state, name, service));
+    applyReport (service, now, state.ownName, ownCounts (state, name, service));
     return sumReports (service, now, state.period);
 }
 
--- a/src/overload/pressure_report.hpp
+++ b/src/overload/pressure_report.hpp
@@ -14,17 +14,17 @@
 {
 
 /** A call of this daemon to `service` ended. `refused`: all servers that were tried had no capacity. */
-void noteCallEnded (RootLimitState&, const std::string& service, bool refused);
+void recordCallEnded (RootLimitState&, const std::string& service, bool refused);
 
 /** What the requests of the rows that run at this daemon's server bring to `service`, as measured here. */
-void setOwnWorks (RootLimitState&, const std::string& service, std::vector<RowWork>);
+void setOwnRowWork (RootLimitState&, const std::string& service, std::vector<RowWork>);
 
 /** Work that one request of `row` brings to `service`, in ms of its slots; 0 if it isn't known. */
-double knownWork (const RootLimitState&, const std::string& service, const std::string& row);
+double knownRowWork (const RootLimitState&, const std::string& service, const std::string& row);
 
 /** A peer's report came. */
-void notePeerReport (RootLimitState&, TimePoint now, const std::string& peer,
-                     const std::vector<ServicePressure>&);
+void recordPeerReport (RootLimitState&, TimePoint now, const std::string& peer,
+                       const std::vector<ServicePressure>&);
 
 /** What this daemon reports: services that some row is known to reach, that refused calls lately, or of
     whose volume a part is refused. */
@@ -41,6 +41,6 @@
 
 /** Takes this daemon's own counts up to `now` for a report, and sums all recent ones. `name`: the
     service's. */
-FleetCounts closeCounts (const RootLimitState&, TimePoint now, const std::string& name, ServiceState&);
+FleetCounts sumFleetCounts (const RootLimitState&, TimePoint now, const std::string& name, ServiceState&);
 
 } // namespace anisehold::overload
--- a/src/overload/root_limit.cpp
+++ b/src/overload/root_limit.cpp
@@ -12,11 +12,11 @@
 
 /** What is taken for the length of a period at least and at most, in seconds: the rise of a share goes by it,
     and must neither stand still nor jump where a period was cut short or the process stood still. */
-constexpr double shortestPeriodS = 0.1;
-constexpr double longestPeriodS = 3.0;
+constexpr double minPeriodS = 0.1;
+constexpr double maxPeriodS = 3.0;
 
 /** Work, in ms, of the service's rows for which none was measured: the mean of the others. */
-double usualWork (const ServiceState& service)
+double meanRowWork (const ServiceState& service)
 {
     double sum = 0;
 
@@ -42,7 +42,7 @@
             continue;
 
         const auto known = service.works.find (name);
-        const double work = known == service.works.end() ? usualWork (service) : known->second;
+        const double work = known == service.works.end() ? meanRowWork (service) : known->second;
         demands.push_back ({ name, it.priority, offeredVolume (it, latest) * work });
     }
 
@@ -69,22 +69,22 @@
 
 } // namespace
 
-std::vector<AdmittedShareMove> endPeriod (RootLimitState& state, TimePoint now,
-                                          const Utilizations& utilizations)
+std::vector<AdmittedShareChange> endPeriod (RootLimitState& state, TimePoint now,
+                                            const Utilizations& utilizations)
 {
-    std::vector<AdmittedShareMove> moves;
-    const std::chrono::duration<double> passed = now - state.periodEnded;
-    const double periodS = std::clamp (passed.count(), shortestPeriodS, longestPeriodS);
+    std::vector<AdmittedShareChange> moves;
+    const std::chrono::duration<double> elapsed = now - state.periodEnded;
+    const double periodS = std::clamp (elapsed.count(), minPeriodS, maxPeriodS);
     state.periodEnded = now;
 
     for (auto& [name, service] : state.services)
     {
-        const auto fleet = closeCounts (state, now, name, service);
+        const auto fleet = sumFleetCounts (state, now, name, service);
         service.isRefusing = fleet.refused > 0;
         const double before = service.admittedShare;
         const auto found = utilizations.find (name);
         const double utilization = found == utilizations.end() ? 0 : found->second;
-        moveAdmittedShare (service, fleet, utilization, periodS);
+        updateAdmittedShare (service, fleet, utilization, periodS);
 
         if (service.admittedShare == before)
             continue;
@@ -118,7 +118,7 @@
     }
 
     const auto volume = state.rows.find (row.name);
-    return 1 - (volume == state.rows.end() ? admitted : steadiedShare (volume->second, admitted));
+    return 1 - (volume == state.rows.end() ? admitted : correctedShare (volume->second, admitted));
 }
 
 } // namespace anisehold::overload
--- a/src/overload/root_limit.hpp
+++ b/src/overload/root_limit.hpp
@@ -28,7 +28,7 @@
 {
 
 /** An admitted share that a period's end moved, and what decided it. */
-struct AdmittedShareMove
+struct AdmittedShareChange
 {
     std::string service;
     double from = 1;
@@ -41,7 +41,7 @@
 };
 
 /** Ends a period, once between two reports of this daemon: moves the shares by the fleet's counts. */
-std::vector<AdmittedShareMove> endPeriod (RootLimitState&, TimePoint now, const Utilizations&);
+std::vector<AdmittedShareChange> endPeriod (RootLimitState&, TimePoint now, const Utilizations&);
 
 /** Whether a share isn't whole, or calls were refused lately: reports should come more often then. The
     first refusal brings it about at once, so that an overload that comes suddenly is met within the
--- a/src/overload/root_limit_state.hpp
+++ b/src/overload/root_limit_state.hpp
@@ -48,13 +48,13 @@
     std::uint32_t refused = 0;
     bool isRefusing = false; /**< Calls were refused since the last period began, here or at peers. */
     std::map<std::string, ReportedCounts> reports; /**< By daemon, this one included. */
-    std::vector<RowWork> ownWorks;       /**< Reported to peers: of rows that run at this daemon's server. */
+    std::vector<RowWork> ownRowWork;     /**< Reported to peers: of rows that run at this daemon's server. */
     std::map<std::string, double> works; /**< By row: mean of what all daemons report, in ms of slots. */
 
     // admitted_share
-    double admittedShare = 1;        /**< Of the volume of its rows. */
-    double admittedWhenMeasured = 1; /**< Moving mean of it: what is measured now was admitted by this. */
-    unsigned cleanPeriods = 0;       /**< In a row, without refusals. */
+    double admittedShare = 1;         /**< Of the volume of its rows. */
+    double measuredAdmittedShare = 1; /**< Moving mean of it: what is measured now was admitted by this. */
+    unsigned cleanPeriods = 0;        /**< In a row, without refusals. */
 
     // row_reach
     std::set<std::string> rows;                    /**< Those whose requests reach it. */
@@ -69,7 +69,7 @@
     TimePoint updated;
 
     // rows_under_way
-    unsigned underWay = 0; /**< Admitted by this daemon, and not ended. */
+    unsigned inFlight = 0; /**< Admitted by this daemon, and not ended. */
     Duration meanTime{};   /**< Moving mean of the time that admitted ones take; 0 while none has ended. */
 };
 
--- a/src/overload/row_reach.cpp
+++ b/src/overload/row_reach.cpp
@@ -12,12 +12,12 @@
 constexpr double volumeHalfLifeS = 3.0;
 /** Faded failures from which on a row reaches a service: three within a second. A server's own failures are
     less than a hundredth of its answers, but two in a row do happen in a fleet. */
-constexpr double leastFailures = 2.5;
+constexpr double minFailures = 2.5;
 /** Part of the row's requests that must have failed so. Where calls are refused, each fails a whole
     request. Both guard rows that don't call the service, of which single requests fail at such moments. */
-constexpr double leastPartFailed = 0.1;
+constexpr double minFailedPart = 0.1;
 
-double faded (double value, Duration age)
+double decayed (double value, Duration age)
 {
     return value * std::exp2 (-std::chrono::duration<double> (age).count() / volumeHalfLifeS);
 }
@@ -26,7 +26,7 @@
 
 double offeredVolume (const RowVolume& row, TimePoint now)
 {
-    return faded (row.offered, now - row.updated);
+    return decayed (row.offered, now - row.updated);
 }
 
 double offeredPerSecond (const RowVolume& row)
@@ -36,7 +36,7 @@
     return row.offered / countedS;
 }
 
-void noteOffered (RootLimitState& state, TimePoint now, const RootRow& row)
+void recordOffered (RootLimitState& state, TimePoint now, const RootRow& row)
 {
     auto& volume = state.rows[row.name];
     volume.offered = offeredVolume (volume, now) + 1;
@@ -44,22 +44,22 @@
     volume.updated = now;
 }
 
-void noteReach (RootLimitState& state, const std::string& row, const std::string& service)
+void recordReach (RootLimitState& state, const std::string& row, const std::string& service)
 {
     state.services[service].rows.insert (row);
 }
 
-void noteFailedBelow (RootLimitState& state, TimePoint now, const std::string& row,
-                      const std::string& service)
+void recordDownstreamFailure (RootLimitState& state, TimePoint now, const std::string& row,
+                              const std::string& service)
 {
     auto& evidence = state.services[service].evidence[row];
-    evidence.failures = faded (evidence.failures, now - evidence.updated) + 1;
+    evidence.failures = decayed (evidence.failures, now - evidence.updated) + 1;
     evidence.updated = now;
     const auto volume = state.rows.find (row);
     const double offered = volume == state.rows.end() ? 0 : offeredVolume (volume->second, now);
 
-    if (evidence.failures >= leastFailures && evidence.failures >= leastPartFailed * offered)
-        noteReach (state, row, service);
+    if (evidence.failures >= minFailures && evidence.failures >= minFailedPart * offered)
+        recordReach (state, row, service);
 }
 
 } // namespace anisehold::overload
--- a/src/overload/row_reach.hpp
+++ b/src/overload/row_reach.hpp
@@ -13,7 +13,7 @@
 {
 
 /** A client's request came, whether or not it is admitted. */
-void noteOffered (RootLimitState&, TimePoint now, const RootRow&);
+void recordOffered (RootLimitState&, TimePoint now, const RootRow&);
 
 /** Requests of the row that were offered lately, each counted half after `volumeHalfLifeS`. */
 double offeredVolume (const RowVolume&, TimePoint now);
@@ -22,11 +22,12 @@
 double offeredPerSecond (const RowVolume&);
 
 /** `service` itself had no capacity for a request of `row`: the row reaches it. */
-void noteReach (RootLimitState&, const std::string& row, const std::string& service);
+void recordReach (RootLimitState&, const std::string& row, const std::string& service);
 
 /** A request of `row` failed at a server whose machine's calls `service` had refused meanwhile. The server
     may have failed for another reason, so the row counts as one that reaches the service only if that happens
     to a good part of its requests. */
-void noteFailedBelow (RootLimitState&, TimePoint now, const std::string& row, const std::string& service);
+void recordDownstreamFailure (RootLimitState&, TimePoint now, const std::string& row,
+                              const std::string& service);
 
 } // namespace anisehold::overload
--- a/src/overload/rows_under_way.hpp
+++ b/src/overload/rows_under_way.hpp
@@ -5,7 +5,7 @@
    as the share brings about on average, the end of the chains is used evenly, and more can be admitted for
    the same refusals.
 
-    Owns `underWay` and `meanTime` of RowVolume. Relies on the caller to note each admitted request's begin
+    Owns `inFlight` and `meanTime` of RowVolume. Relies on the caller to note each admitted request's begin
    and end. Pure.
 */
 #pragma once
@@ -19,14 +19,14 @@
 {
 
 /** A client's request of the row was admitted. */
-void noteRequestBegan (RootLimitState&, const std::string& row);
+void recordRequestStarted (RootLimitState&, const std::string& row);
 
-/** It ended, however, after `taken`. */
-void noteRequestEnded (RootLimitState&, const std::string& row, Duration taken);
+/** It ended, however, after `elapsed`. */
+void recordRequestEnded (RootLimitState&, const std::string& row, Duration elapsed);
 
 /** The share to admit the next request with: more than `admittedShare` while fewer requests than usual are
    under way, less while more are; between 0 and 1. A whole share, or one of a row of which none has ended,
    stays. */
-double steadiedShare (const RowVolume&, double admittedShare);
+double correctedShare (const RowVolume&, double admittedShare);
 
 } // namespace anisehold::overload
--- a/src/overload/time_weighted_mean.hpp
+++ b/src/overload/time_weighted_mean.hpp
@@ -25,17 +25,17 @@
 inline constexpr double meanHalfLifeS = 0.25;
 
 /** The mean as of `now`. */
-inline double meanOf (const TimeWeightedMean& state, TimePoint now)
+inline double currentMean (const TimeWeightedMean& state, TimePoint now)
 {
-    const std::chrono::duration<double> passed = now - state.updated;
-    const double kept = std::exp2 (-passed.count() / meanHalfLifeS);
+    const std::chrono::duration<double> elapsed = now - state.updated;
+    const double kept = std::exp2 (-elapsed.count() / meanHalfLifeS);
     return state.mean * kept + state.value * (1 - kept);
 }
 
 /** The number becomes `value`. */
-inline void noteValue (TimeWeightedMean& state, TimePoint now, unsigned value)
+inline void recordValue (TimeWeightedMean& state, TimePoint now, unsigned value)
 {
-    state.mean = meanOf (state, now);
+    state.mean = currentMean (state, now);
     state.value = value;
     state.updated = now;
 }
--- a/src/overload/utilization.hpp
+++ b/src/overload/utilization.hpp
@@ -28,8 +28,8 @@
 /** Slots of one service, over all servers that were added. */
 struct SlotCount
 {
-    double taken = 0;
-    double whole = 0;
+    double busy = 0;
+    double total = 0;
 };
 
 inline void addServer (std::map<std::string, SlotCount>& services, const std::string& service,
@@ -38,8 +38,8 @@
     constexpr double shareOfPercent = 0.01;
     const double sound = shareOfPercent * (100.0 - std::min (server.failedPercent, 100U));
     auto& slots = services[service];
-    slots.taken += sound * shareOfPercent * server.busyPercent * server.limit;
-    slots.whole += sound * server.limit;
+    slots.busy += sound * shareOfPercent * server.busyPercent * server.limit;
+    slots.total += sound * server.limit;
 }
 
 inline Utilizations utilizationsOf (const std::map<std::string, SlotCount>& services)
@@ -47,7 +47,7 @@
     Utilizations utilizations;
 
     for (const auto& [service, slots] : services)
-        utilizations[service] = slots.whole > 0 ? slots.taken / slots.whole : 0;
+        utilizations[service] = slots.total > 0 ? slots.busy / slots.total : 0;
 
     return utilizations;
 }
--- a/src/overload/work_estimate.cpp
+++ b/src/overload/work_estimate.cpp
@@ -13,29 +13,29 @@
     the chains that break off at their first call make few. Chosen, not measured. */
 constexpr double halfLifeS = 10;
 /** Requests of a row that must have ended before it is estimated. Chosen, not measured. */
-constexpr double leastEnded = 5;
+constexpr double minEnded = 5;
 /** What is taken to have been seen of each pair of rows before: as many calls in as many seconds of slots. It
     lets a row begin, and is soon outweighed. Chosen, not measured. */
 constexpr double priorCalls = 0.5;
 constexpr double priorSlotS = 0.5;
 /** A row is forgotten when it runs no more and fewer of its requests than this count. Chosen, not
     measured. */
-constexpr double forgottenBelow = 0.01;
+constexpr double minRetainedCount = 0.01;
 
 /** Lets the time up to `now` pass. */
 void advance (WorkEstimate& work, TimePoint now)
 {
-    const double passedS = std::chrono::duration<double> (now - work.updated).count();
-    const double kept = std::exp2 (-passedS / halfLifeS);
+    const double elapsedS = std::chrono::duration<double> (now - work.updated).count();
+    const double kept = std::exp2 (-elapsedS / halfLifeS);
     const bool isFirst = work.updated == TimePoint{};
     work.updated = now;
 
-    if (isFirst || passedS <= 0)
+    if (isFirst || elapsedS <= 0)
         return;
 
     for (auto& [name, it] : work.rows)
     {
-        it.slotS = it.slotS * kept + it.inFlight * passedS;
+        it.slotS = it.slotS * kept + it.inFlight * elapsedS;
         it.ended *= kept;
 
         for (auto& [called, count] : it.calls)
@@ -43,7 +43,7 @@
     }
 
     std::erase_if (work.rows, [] (const auto& it)
-                   { return it.second.inFlight == 0 && it.second.ended < forgottenBelow; });
+                   { return it.second.inFlight == 0 && it.second.ended < minRetainedCount; });
 }
 
 /** Calls of row `called` in a second of the row's slots. */
@@ -56,13 +56,13 @@
 
 } // namespace
 
-void noteRunBegan (WorkEstimate& work, TimePoint now, const std::string& row)
+void recordRunStarted (WorkEstimate& work, TimePoint now, const std::string& row)
 {
     advance (work, now);
     ++work.rows[row].inFlight;
 }
 
-void noteRunEnded (WorkEstimate& work, TimePoint now, const std::string& row)
+void recordRunEnded (WorkEstimate& work, TimePoint now, const std::string& row)
 {
     advance (work, now);
     auto& it = work.rows[row];
@@ -70,7 +70,7 @@
     it.ended += 1;
 }
 
-void noteCallMade (WorkEstimate& work, TimePoint now, const std::string& called)
+void recordCallMade (WorkEstimate& work, TimePoint now, const std::string& called)
 {
     advance (work, now);
     double whole = 0;
@@ -92,7 +92,7 @@
 {
     const auto found = work.rows.find (row);
 
-    if (found == work.rows.end() || found->second.ended < leastEnded)
+    if (found == work.rows.end() || found->second.ended < minEnded)
         return 0;
 
     const auto count = found->second.calls.find (called);
@@ -103,12 +103,12 @@
 {
     constexpr double msPerS = 1'000;
     const auto found = work.rows.find (row);
-    const bool isKnown = found != work.rows.end() && found->second.ended >= leastEnded;
+    const bool isKnown = found != work.rows.end() && found->second.ended >= minEnded;
     return isKnown ? msPerS * found->second.slotS / found->second.ended : 0;
 }
 
-std::vector<RowWork> worksAt (const WorkEstimate& work, const RootLimitState& limit,
-                              const std::string& ownService, const std::string& service)
+std::vector<RowWork> estimateRowWork (const WorkEstimate& work, const RootLimitState& limit,
+                                      const std::string& ownService, const std::string& service)
 {
     std::vector<RowWork> works;
 
@@ -117,9 +117,9 @@
         double ms = service == ownService ? slotMsPerRun (work, row) : 0;
 
         for (const auto& [called, count] : it.calls)
-            ms += callsPerRun (work, row, called) * knownWork (limit, service, called);
+            ms += callsPerRun (work, row, called) * knownRowWork (limit, service, called);
 
-        if (ms > 0 && works.size() < mostWorks)
+        if (ms > 0 && works.size() < maxReportedRows)
             works.push_back ({ row, ms });
     }
 
--- a/src/overload/work_estimate.hpp
+++ b/src/overload/work_estimate.hpp
@@ -9,7 +9,7 @@
     Measured with simulated calls of 8 seeds: two rows with nearly the same rate of calls are told apart to
     within two fifths, their sum is right to a twentieth (work_estimate_test).
 
-    Plain state and free functions over it; relies on knownWork for what called rows bring. Pure.
+    Plain state and free functions over it; relies on knownRowWork for what called rows bring. Pure.
 */
 #pragma once
 
@@ -40,13 +40,13 @@
 };
 
 /** The server began to run a request of `row`. */
-void noteRunBegan (WorkEstimate&, TimePoint now, const std::string& row);
+void recordRunStarted (WorkEstimate&, TimePoint now, const std::string& row);
 
 /** The server ended a request of `row`, well or not. */
-void noteRunEnded (WorkEstimate&, TimePoint now, const std::string& row);
+void recordRunEnded (WorkEstimate&, TimePoint now, const std::string& row);
 
 /** The server made a call of row `called`. */
-void noteCallMade (WorkEstimate&, TimePoint now, const std::string& called);
+void recordCallMade (WorkEstimate&, TimePoint now, const std::string& called);
 
 /** Calls of row `called` made for one request of `row`; 0 if nothing is known. */
 double callsPerRun (const WorkEstimate&, const std::string& row, const std::string& called);
@@ -55,11 +55,11 @@
 double slotMsPerRun (const WorkEstimate&, const std::string& row);
 
 /** Work that one request of each row brings to `service`: its own time if it runs there, and that of the
-    calls made for it, as far as what those bring is known. At most `mostWorks` rows. */
-std::vector<RowWork> worksAt (const WorkEstimate&, const RootLimitState&, const std::string& ownService,
-                              const std::string& service);
+    calls made for it, as far as what those bring is known. At most `maxReportedRows` rows. */
+std::vector<RowWork> estimateRowWork (const WorkEstimate&, const RootLimitState&,
+                                      const std::string& ownService, const std::string& service);
 
 /** Most rows reported of a service in one record, which must fit into a datagram. Chosen, not measured. */
-inline constexpr std::size_t mostWorks = 16;
+inline constexpr std::size_t maxReportedRows = 16;
 
 } // namespace anisehold::overload
--- a/src/selection/failure_share.hpp
+++ b/src/selection/failure_share.hpp
@@ -20,16 +20,16 @@
 inline constexpr double failureHalfLifeS = 1.5;
 
 /** The share as of `now`. */
-inline double shareOf (const FailureShare& failures, TimePoint now)
+inline double currentShare (const FailureShare& failures, TimePoint now)
 {
     const std::chrono::duration<double> age = now - failures.updated;
     return failures.share * std::exp2 (-age.count() / failureHalfLifeS);
 }
 
 /** Takes in one result; `weight`, from 0 to 1, says how much it counts. */
-inline void noteResult (FailureShare& failures, TimePoint now, bool failed, double weight)
+inline void recordResult (FailureShare& failures, TimePoint now, bool failed, double weight)
 {
-    const double before = shareOf (failures, now);
+    const double before = currentShare (failures, now);
     failures.share = before + weight * ((failed ? 1.0 : 0.0) - before);
     failures.updated = now;
 }
--- a/src/selection/return_trial.cpp
+++ b/src/selection/return_trial.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void noteTrialResult (ReturnTrials& trials, TimePoint now, const std::string& instance, bool failed)
+void recordTrialResult (ReturnTrials& trials, TimePoint now, const std::string& instance, bool failed)
 {
     if (failed)
         trials[instance] = now + trialInterval;
@@ -27,9 +27,9 @@
         trials.erase (instance);
 }
 
-const KnownServer* takeTrial (ReturnTrials& trials, TimePoint now, const membership::ServiceView& view)
+const KnownServer* startDueTrial (ReturnTrials& trials, TimePoint now, const membership::ServiceView& view)
 {
-    std::erase_if (trials, [&] (const auto& entry) { return now - entry.second >= trialForgotten; });
+    std::erase_if (trials, [&] (const auto& entry) { return now - entry.second >= trialExpiry; });
 
     for (auto& [instance, due] : trials)
     {
--- a/src/selection/return_trial.hpp
+++ b/src/selection/return_trial.hpp
@@ -25,12 +25,12 @@
 /** Time from a failure, or from a trial whose end isn't known yet, to the next trial. */
 inline constexpr milliseconds trialInterval{ 3'000 };
 /** A trial that found no server for so long is given up: the server has left the fleet. */
-inline constexpr milliseconds trialForgotten{ 60'000 };
+inline constexpr milliseconds trialExpiry{ 60'000 };
 
 /** Records the end of a request at the server. */
-void noteTrialResult (ReturnTrials&, TimePoint now, const std::string& instance, bool failed);
+void recordTrialResult (ReturnTrials&, TimePoint now, const std::string& instance, bool failed);
 
 /** A server of the view whose trial is due; its next one is put off. Null if none is. */
-const membership::KnownServer* takeTrial (ReturnTrials&, TimePoint now, const membership::ServiceView&);
+const membership::KnownServer* startDueTrial (ReturnTrials&, TimePoint now, const membership::ServiceView&);
 
 } // namespace anisehold::selection
--- a/src/selection/server_selection.cpp
+++ b/src/selection/server_selection.cpp
@@ -12,9 +12,9 @@
 using membership::ServiceView;
 
 /** Taken for the mean latency, in microseconds, if no server was measured. */
-constexpr double guessedLatencyUs = 100'000;
+constexpr double defaultLatencyUs = 100'000;
 /** Factor of the cost in another zone: its bytes are dear and its way is longer. */
-constexpr double otherZoneFactor = 2.5;
+constexpr double remoteZoneFactor = 2.5;
 /** Factor of the cost of a server that is still cold. */
 constexpr double coldFactor = 2.0;
 /** A failure costs this many times the mean latency. */
@@ -22,7 +22,7 @@
 /** Weight of the newest result in the moving share of failures. */
 constexpr double failureSample = 0.4;
 /** A server's own gate sees all of its requests; a share of failures below this is ordinary. */
-constexpr double ordinaryShare = 0.1;
+constexpr double toleratedShare = 0.1;
 constexpr double shareOfPercent = 0.01;
 /** A share of failures below this is forgotten. */
 constexpr double negligibleShare = 0.01;
@@ -31,36 +31,36 @@
 /** A usual server that is fuller than that, or fails more often, is compared with others: before it queues,
     and from the first failure that this daemon sees on. */
 constexpr double fullShare = 0.75;
-constexpr double doubtfulFailures = 0.1;
+constexpr double highFailureShare = 0.1;
 /** How often a few of all servers are drawn while the cheapest is doubtful: where a quarter of them fail, one
     in ten thousand requests finds only such; worked out. */
-constexpr int numFurtherLooks = 3;
+constexpr int maxFallbackDraws = 3;
 /** Servers that are looked at in the own zone, and in the others: power of two choices. */
-constexpr std::size_t numLookedAt = 2;
+constexpr std::size_t candidatesPerDraw = 2;
 
 using Candidates = std::vector<const KnownServer*>;
 
 /** What this daemon saw itself, or what the server's gate reports, whichever is worse. */
 double failureShare (const SelectionState& state, TimePoint now, const membership::ServerRecord& server)
 {
-    if (! state.rules.sparesFailing)
+    if (! state.rules.avoidsFailing)
         return 0;
 
     const auto it = state.failures.find (server.instance);
-    const double seen = it == state.failures.end() ? 0 : shareOf (it->second, now);
-    return std::max (seen, shareOfPercent * server.failed_percent - ordinaryShare);
+    const double seen = it == state.failures.end() ? 0 : currentShare (it->second, now);
+    return std::max (seen, shareOfPercent * server.failed_percent - toleratedShare);
 }
 
 /** The scale of a failure's cost: the mean latency of the service's servers, in microseconds. */
-double scaleOf (const ServiceView& view)
+double failureScaleUs (const ServiceView& view)
 {
-    return view.mean_latency_us > 0 ? view.mean_latency_us : guessedLatencyUs;
+    return view.mean_latency_us > 0 ? view.mean_latency_us : defaultLatencyUs;
 }
 
-/** Adds up to `numLookedAt` random ones of the first `size` candidates to `drawn`. */
+/** Adds up to `candidatesPerDraw` random ones of the first `size` candidates to `drawn`. */
 void drawSome (const Candidates& candidates, std::size_t size, const UnitRandom& random, Candidates& drawn)
 {
-    if (size <= numLookedAt)
+    if (size <= candidatesPerDraw)
     {
         drawn.insert (drawn.end(), candidates.begin(),
                       candidates.begin() + static_cast<std::ptrdiff_t> (size));
@@ -96,10 +96,10 @@
 }
 
 /** A few of the usual servers, and the one beside this daemon: no other is nearer. */
-Candidates drawUsual (const ServiceView& view, const UnitRandom& random)
+Candidates drawPreferred (const ServiceView& view, const UnitRandom& random)
 {
     Candidates drawn;
-    drawn.reserve (2 * numLookedAt + 1);
+    drawn.reserve (2 * candidatesPerDraw + 1);
 
     if (view.own != nullptr)
         drawn.push_back (view.own);
@@ -130,45 +130,45 @@
 
 double fillOf (const SelectionState& state, const membership::ServerRecord& server)
 {
-    const auto own = state.underWay.find (server.instance);
-    const unsigned underWay = own == state.underWay.end() ? 0 : own->second;
-    const double busy = std::max (server.in_flight + server.queued, underWay);
+    const auto own = state.inFlight.find (server.instance);
+    const unsigned inFlight = own == state.inFlight.end() ? 0 : own->second;
+    const double busy = std::max (server.in_flight + server.queued, inFlight);
     return (busy + 1.0) / std::max (1U, server.limit);
 }
 
 /** Whether a server is so full, or fails so often, that others are looked for; or lies in another zone,
     though the own one may have others with free slots. */
-bool isDoubtful (const SelectionState& state, TimePoint now, const ServiceView& view,
-                 const KnownServer& known)
+bool needsAlternatives (const SelectionState& state, TimePoint now, const ServiceView& view,
+                        const KnownServer& known)
 {
     if (known.zone != state.ownZone && view.near.size() > view.usual_near)
         return true;
 
     return fillOf (state, known.server) >= fullShare ||
-           failureShare (state, now, known.server) >= doubtfulFailures;
+           failureShare (state, now, known.server) >= highFailureShare;
 }
 
 } // namespace
 
-void noteSent (SelectionState& state, const std::string& instance)
+void recordSent (SelectionState& state, const std::string& instance)
 {
-    ++state.underWay[instance];
+    ++state.inFlight[instance];
 }
 
-bool speaksAgainstServer (const AttemptEnd& end)
+bool countsAsFailure (const AttemptResult& end)
 {
-    return end.wasGivenUp ? end.taken >= end.slowAfter : end.serverFailed;
+    return end.wasAbandoned ? end.elapsed >= end.slowThreshold : end.serverFailed;
 }
 
-void noteEnded (SelectionState& state, TimePoint now, const std::string& instance, bool failed)
+void recordEnded (SelectionState& state, TimePoint now, const std::string& instance, bool failed)
 {
-    const auto own = state.underWay.find (instance);
+    const auto own = state.inFlight.find (instance);
 
-    if (own != state.underWay.end() && --own->second == 0)
-        state.underWay.erase (own);
+    if (own != state.inFlight.end() && --own->second == 0)
+        state.inFlight.erase (own);
 
     auto& failures = state.failures[instance];
-    noteResult (failures, now, failed, failureSample);
+    recordResult (failures, now, failed, failureSample);
 
     if (failures.share < negligibleShare)
         state.failures.erase (instance);
@@ -183,23 +183,23 @@
     cost += failureWeight * meanUs * std::max (failureShare (state, now, server), 0.0);
 
     if (state.rules.prefersOwnZone && known.zone != state.ownZone)
-        cost *= otherZoneFactor;
+        cost *= remoteZoneFactor;
 
-    if (state.rules.sparesCold && milliseconds (server.cold_ms) > now - known.heard)
+    if (state.rules.avoidsCold && milliseconds (server.cold_ms) > now - known.heard)
         cost *= coldFactor;
 
     return cost;
 }
 
-std::vector<PassedOver> passedOver (const SelectionState& state, TimePoint now, const ServiceView& view,
-                                    const KnownServer& chosen)
+std::vector<AvoidedServer> avoidedServers (const SelectionState& state, TimePoint now,
+                                           const ServiceView& view, const KnownServer& chosen)
 {
-    std::vector<PassedOver> found;
+    std::vector<AvoidedServer> found;
 
     if (state.failures.empty())
         return found;
 
-    const double meanUs = scaleOf (view);
+    const double meanUs = failureScaleUs (view);
     const double chosenCost = expectedCost (state, now, chosen, meanUs);
 
     for (const auto* list : { &view.near, &view.far })
@@ -222,27 +222,28 @@
 const KnownServer* chooseServer (const SelectionState& state, TimePoint now, const ServiceView& view,
                                  const std::vector<std::string>& tried, const UnitRandom& random)
 {
-    const double meanUs = scaleOf (view);
+    const double meanUs = failureScaleUs (view);
     const KnownServer* best = nullptr;
-    double least = std::numeric_limits<double>::max();
+    double lowestCost = std::numeric_limits<double>::max();
     const auto takeCheapest = [&] (const Candidates& drawn)
     {
         for (const auto* it : drawn)
         {
             const double cost = expectedCost (state, now, *it, meanUs);
 
-            if (best != nullptr && cost >= least)
+            if (best != nullptr && cost >= lowestCost)
                 continue;
 
             best = it;
-            least = cost;
+            lowestCost = cost;
         }
     };
 
-    if (tried.empty() && state.rules.prefersUsual)
-        takeCheapest (drawUsual (view, random));
+    if (tried.empty() && state.rules.usesPreferredServers)
+        takeCheapest (drawPreferred (view, random));
 
-    for (int n = 0; n < numFurtherLooks && (best == nullptr || isDoubtful (state, now, view, *best)); ++n)
+    for (int n = 0; n < maxFallbackDraws && (best == nullptr || needsAlternatives (state, now, view, *best));
+         ++n)
         takeCheapest (drawAny (view, tried, random));
 
     return best;
--- a/src/selection/server_selection.hpp
+++ b/src/selection/server_selection.hpp
@@ -30,10 +30,10 @@
 /** What counts in the choice. All does, but in the lab. */
 struct SelectionRules
 {
-    bool prefersUsual = true;
+    bool usesPreferredServers = true;
     bool prefersOwnZone = true;
-    bool sparesCold = true;
-    bool sparesFailing = true;
+    bool avoidsCold = true;
+    bool avoidsFailing = true;
 };
 
 /** What one daemon has seen of servers itself, by instance. */
@@ -41,29 +41,29 @@
 {
     std::string ownZone;
     std::unordered_map<std::string, unsigned>
-        underWay; /**< Requests that this daemon has sent and not seen end. */
+        inFlight; /**< Requests that this daemon has sent and not seen end. */
     std::unordered_map<std::string, FailureShare> failures;
     SelectionRules rules{};
 };
 
 /** Records that a request goes to the server. */
-void noteSent (SelectionState&, const std::string& instance);
+void recordSent (SelectionState&, const std::string& instance);
 
 /** How the sending of a request to a server ended. */
-struct AttemptEnd
+struct AttemptResult
 {
-    bool wasGivenUp = false;   /**< By this daemon: its time was up, or another server had answered. */
+    bool wasAbandoned = false; /**< By this daemon: its time was up, or another server had answered. */
     bool serverFailed = false; /**< No whole answer came, or the server declined. */
-    Duration taken{};
-    Duration slowAfter{}; /**< Time after which a silent server is slow for such a request. */
+    Duration elapsed{};
+    Duration slowThreshold{}; /**< Time after which a silent server is slow for such a request. */
 };
 
 /** Whether the end speaks against the server. One that was given up after a long silence does: a machine that
     can't be reached, but can be heard, would get requests for ever. */
-bool speaksAgainstServer (const AttemptEnd&);
+bool countsAsFailure (const AttemptResult&);
 
 /** Records its end. `failed`: the server gave no whole answer, or none in time. */
-void noteEnded (SelectionState&, TimePoint now, const std::string& instance, bool failed);
+void recordEnded (SelectionState&, TimePoint now, const std::string& instance, bool failed);
 
 /** Expected cost of a request there, in microseconds of the caller's time; lower is better. `meanUs`, of all
     servers of the service, is the scale of a failure, and is taken for a server of which no answer was
@@ -71,7 +71,7 @@
 double expectedCost (const SelectionState&, TimePoint now, const membership::KnownServer&, double meanUs);
 
 /** A server that this daemon saw fail, and that wasn't chosen. */
-struct PassedOver
+struct AvoidedServer
 {
     const membership::KnownServer* server = nullptr;
     double failures = 0;   /**< The share that counts now. */
@@ -80,8 +80,9 @@
 };
 
 /** The servers of the view that this daemon has seen fail and that cost more than `chosen` now. */
-std::vector<PassedOver> passedOver (const SelectionState&, TimePoint now, const membership::ServiceView&,
-                                    const membership::KnownServer& chosen);
+std::vector<AvoidedServer> avoidedServers (const SelectionState&, TimePoint now,
+                                           const membership::ServiceView&,
+                                           const membership::KnownServer& chosen);
 
 /** A server of the view that isn't in `tried`; null if there is none.
 
--- a/src/sidecar/configuration_watch.cpp
+++ b/src/sidecar/configuration_watch.cpp
@@ -62,7 +62,7 @@
             continue;
         }
         if (state_.role == WatchRole::standIn) {
-            discovery::noteFailedTry(state_, TimePoint::clock::now());
+            discovery::recordFailedAttempt(state_, TimePoint::clock::now());
         }
         link_.pause(failures++, kLongestWatchPause);
     }
@@ -76,15 +76,15 @@
         view.zonePeers.push_back(std::move(peer.name));
     }
     view.knownPeers = directory_.known_count();
-    view.peerWatches = directory_.any_near_watches(now);
+    view.hasPeerWatch = directory_.any_near_watches(now);
     const auto before = state_.role;
-    const auto role = discovery::reviewRole(state_, now, view, [this] { return context_.random_unit(); });
+    const auto role = discovery::updateRole(state_, now, view, [this] { return context_.random_unit(); });
     context_.store.on_role(role);
     if (role != before) {
         log_event(Event::kWatchRoleChanged, {{"role", std::string(discovery::roleName(role))},
                                              {"before", std::string(discovery::roleName(before))},
                                              {"zone_peers", std::to_string(view.zonePeers.size())},
-                                             {"peer_watches", view.peerWatches ? "yes" : "no"}});
+                                             {"peer_watches", view.hasPeerWatch ? "yes" : "no"}});
     }
     return role;
 }
--- a/src/sidecar/gate_server.cpp
+++ b/src/sidecar/gate_server.cpp
@@ -113,11 +113,11 @@
     if (cancelled || held_back || !result.overloaded_service.empty()) {
         return;
     }
-    selection::noteResult(server.failures, now, !good, kFailureSample);
+    selection::recordResult(server.failures, now, !good, kFailureSample);
 }
 
 void note_running(GateServer& server, TimePoint now) {
-    overload::noteValue(server.running, now, server.gate.load().in_flight);
+    overload::recordValue(server.running, now, server.gate.load().in_flight);
 }
 
 void fill_load(const GateServer& server, hop::HopResult& result) {
@@ -127,13 +127,14 @@
     result.queued = load.queued;
     result.limit = server.gate.usable_limit(now);
     result.rate_limit = server.gate.rate().limit();
-    result.failed_percent = static_cast<unsigned>(kPercent * selection::shareOf(server.failures, now));
+    result.failed_percent = static_cast<unsigned>(kPercent * selection::currentShare(server.failures, now));
     result.latency_us =
         static_cast<unsigned>(std::chrono::duration_cast<std::chrono::microseconds>(server.latency).count());
 }
 
 unsigned busy_percent(const GateServer& server, TimePoint now) {
-    const double busy = overload::meanOf(server.running, now) / std::max(1U, server.gate.usable_limit(now));
+    const double busy =
+        overload::currentMean(server.running, now) / std::max(1U, server.gate.usable_limit(now));
     return static_cast<unsigned>(std::lround(busy * kPercent));
 }
 
--- a/src/sidecar/local_gate.cpp
+++ b/src/sidecar/local_gate.cpp
@@ -87,11 +87,12 @@
     if (!has_turn) {
         return without_answer(HopOutcome::kNotSent, ErrorKind::kQueueTimeout, server.latency);
     }
-    if (context_.has(Mechanism::kConnectBackoff) && !connection::takeAttempt(server.backoff, run.arrived)) {
+    if (context_.has(Mechanism::kConnectBackoff) &&
+        !connection::acquireAttempt(server.backoff, run.arrived)) {
         return without_answer(HopOutcome::kNotSent, ErrorKind::kConnectFailed);
     }
     auto refused = wait_for_slot(server, run);
-    if (refused && !run.is_cancelled() && server.gate.is_held_by_rate()) {
+    if (refused && !run.is_cancelled() && server.gate.is_rate_limited()) {
         note_rate_refusal(server);
     }
     return refused;
--- a/src/sidecar/overload_tracker.cpp
+++ b/src/sidecar/overload_tracker.cpp
@@ -5,7 +5,7 @@
 void OverloadTracker::on_call_ended(const std::string& service, const std::string& row, bool is_root,
                                     const CallEnd& end) {
     const bool was_calm = !is_under_pressure();
-    overload::noteCallEnded(limit_, service, end.refused);
+    overload::recordCallEnded(limit_, service, end.refused);
     if (end.refused && was_calm && reports_onset()) {
         pressure_rose_.give();
     }
@@ -13,12 +13,12 @@
     if (end.refused) {
         last_sign_ = {now, service};
         if (is_root) {
-            overload::noteReach(limit_, row, service);
+            overload::recordReach(limit_, row, service);
         }
     } else if (!end.overloaded_below.empty()) {
         last_sign_ = {now, end.overloaded_below};
         if (is_root) {
-            overload::noteFailedBelow(limit_, now, row, end.overloaded_below);
+            overload::recordDownstreamFailure(limit_, now, row, end.overloaded_below);
         }
     }
 }
@@ -29,14 +29,15 @@
 
 void OverloadTracker::measure_works() {
     for (const auto& [service, state] : limit_.services) {
-        overload::setOwnWorks(limit_, service, overload::worksAt(work_, limit_, settings_.service, service));
+        overload::setOwnRowWork(limit_, service,
+                                overload::estimateRowWork(work_, limit_, settings_.service, service));
     }
 }
 
 void OverloadTracker::on_peer_report(TimePoint now, const std::string& peer,
                                      const std::vector<overload::ServicePressure>& pressures) {
     const bool was_calm = !is_under_pressure();
-    overload::notePeerReport(limit_, now, peer, pressures);
+    overload::recordPeerReport(limit_, now, peer, pressures);
     if (was_calm && is_under_pressure() && reports_onset()) {
         pressure_rose_.give();
     }
--- a/src/sidecar/overload_tracker.hpp
+++ b/src/sidecar/overload_tracker.hpp
@@ -30,13 +30,13 @@
 
     /// A client's request came. The share of such requests that is refused now, from 0 to 1.
     double on_offered(TimePoint now, const overload::RootRow& row) {
-        overload::noteOffered(limit_, now, row);
+        overload::recordOffered(limit_, now, row);
         return overload::refusedShare(limit_, row);
     }
     /// A client's request was admitted; it ended, however, after `taken`.
-    void on_admitted(const std::string& row) { overload::noteRequestBegan(limit_, row); }
+    void on_admitted(const std::string& row) { overload::recordRequestStarted(limit_, row); }
     void on_admitted_ended(const std::string& row, Duration taken) {
-        overload::noteRequestEnded(limit_, row, taken);
+        overload::recordRequestEnded(limit_, row, taken);
     }
     /// A request ended. `is_root`: a client had sent it.
     void on_call_ended(const std::string& service, const std::string& row, bool is_root, const CallEnd& end);
@@ -44,9 +44,9 @@
     std::string overloaded_since(TimePoint since) const;
 
     /// The server beside made a call, began a run, or ended one.
-    void on_call_made(TimePoint now, const std::string& row) { overload::noteCallMade(work_, now, row); }
-    void on_run_began(TimePoint now, const std::string& row) { overload::noteRunBegan(work_, now, row); }
-    void on_run_ended(TimePoint now, const std::string& row) { overload::noteRunEnded(work_, now, row); }
+    void on_call_made(TimePoint now, const std::string& row) { overload::recordCallMade(work_, now, row); }
+    void on_run_began(TimePoint now, const std::string& row) { overload::recordRunStarted(work_, now, row); }
+    void on_run_ended(TimePoint now, const std::string& row) { overload::recordRunEnded(work_, now, row); }
 
     bool is_under_pressure() const { return overload::isUnderPressure(limit_); }
     /// What peers are sent. `measure_works` brings the works in it up to date.
@@ -56,8 +56,8 @@
                         const std::vector<overload::ServicePressure>& pressures);
     /// Time between two reports to near peers from now on.
     void set_period(Duration period) { limit_.period = period; }
-    std::vector<overload::AdmittedShareMove> end_period(TimePoint now,
-                                                        const overload::Utilizations& utilizations) {
+    std::vector<overload::AdmittedShareChange> end_period(TimePoint now,
+                                                          const overload::Utilizations& utilizations) {
         return overload::endPeriod(limit_, now, utilizations);
     }
     /// Waits until calls are refused after a calm time, here or at a peer, so that a report shouldn't wait;
--- a/src/sidecar/rate_lines.cpp
+++ b/src/sidecar/rate_lines.cpp
@@ -19,9 +19,9 @@
     switch (change) {
         case RateChange::kNone:
             return "none";
-        case RateChange::kBegan:
+        case RateChange::kStarted:
             return "began";
-        case RateChange::kMoved:
+        case RateChange::kChanged:
             return "moved";
         case RateChange::kEnded:
             return "ended";
@@ -52,7 +52,7 @@
 }
 
 void RateLines::on_change(TimePoint now, const admission::ServerRate& rate, const RateMove& move) {
-    const bool is_move = move.change == RateChange::kMoved;
+    const bool is_move = move.change == RateChange::kChanged;
     if (move.change == RateChange::kNone || (is_move && now < next_move_)) {
         return;
     }
--- a/src/sidecar/registration_keeper.cpp
+++ b/src/sidecar/registration_keeper.cpp
@@ -85,7 +85,7 @@
 }
 
 void RegistrationKeeper::remove_abandoned(const std::vector<discovery::Registration>& listing) {
-    const auto abandoned = discovery::takeListing(ages_, TimePoint::clock::now(), listing);
+    const auto abandoned = discovery::findAbandoned(ages_, TimePoint::clock::now(), listing);
     // One daemon's removal is enough, and the revision guards a registration that was written meanwhile.
     if (!context_.store.is_appointed()) {
         return;
--- a/src/sidecar/server_chooser.cpp
+++ b/src/sidecar/server_chooser.cpp
@@ -19,10 +19,10 @@
 
 selection::SelectionRules selection_rules(const SidecarContext& context) {
     selection::SelectionRules rules;
-    rules.prefersUsual = context.has(Mechanism::kUsualServers);
+    rules.usesPreferredServers = context.has(Mechanism::kUsualServers);
     rules.prefersOwnZone = context.has(Mechanism::kZonePreference);
-    rules.sparesCold = context.has(Mechanism::kColdServers);
-    rules.sparesFailing = context.has(Mechanism::kFailingServers);
+    rules.avoidsCold = context.has(Mechanism::kColdServers);
+    rules.avoidsFailing = context.has(Mechanism::kFailingServers);
     return rules;
 }
 
@@ -57,12 +57,13 @@
     return chosen;
 }
 
-void ServerChooser::on_ended(TimePoint now, const std::string& instance, const selection::AttemptEnd& end) {
-    const bool failed = selection::speaksAgainstServer(end);
-    selection::noteEnded(selection_, now, instance, failed);
+void ServerChooser::on_ended(TimePoint now, const std::string& instance,
+                             const selection::AttemptResult& end) {
+    const bool failed = selection::countsAsFailure(end);
+    selection::recordEnded(selection_, now, instance, failed);
     // A request that was given up early says nothing of whether the server is back.
-    if (failed || !end.wasGivenUp) {
-        selection::noteTrialResult(trials_, now, instance, failed);
+    if (failed || !end.wasAbandoned) {
+        selection::recordTrialResult(trials_, now, instance, failed);
     }
 }
 
@@ -70,7 +71,7 @@
     if (!context_.has(Mechanism::kFailingServers)) {
         return nullptr;
     }
-    const auto* server = selection::takeTrial(trials_, now, view);
+    const auto* server = selection::startDueTrial(trials_, now, view);
     if (server != nullptr) {
         log_event(Event::kServerTried,
                   {{"server", server->server.instance}, {"service", server->server.service}});
@@ -81,7 +82,7 @@
 void ServerChooser::log_passed_over(TimePoint now, const membership::ServiceView& view,
                                     const membership::KnownServer& chosen) {
     next_passed_over_line_ = now + kPassedOverPause;
-    auto passed_over = selection::passedOver(selection_, now, view, chosen);
+    auto passed_over = selection::avoidedServers(selection_, now, view, chosen);
     passed_over.resize(std::min(passed_over.size(), kMostPassedOverLines));
     for (const auto& passed : passed_over) {
         const auto& server = passed.server->server;
--- a/src/sidecar/server_chooser.hpp
+++ b/src/sidecar/server_chooser.hpp
@@ -15,7 +15,7 @@
 
 namespace anisehold::sidecar {
 
-/// The rules are `selection::takeTrial`, `selection::chooseServer` and, for a request under which servers
+/// The rules are `selection::startDueTrial`, `selection::chooseServer` and, for a request under which servers
 /// have crashed, `suspects::chooseForSuspect`. Owns what this daemon has seen of servers itself.
 class ServerChooser {
   public:
@@ -30,9 +30,9 @@
                                           const std::vector<std::string>& tried, unsigned running,
                                           bool may_retry);
     /// The request was sent to the server.
-    void on_sent(const std::string& instance) { selection::noteSent(selection_, instance); }
+    void on_sent(const std::string& instance) { selection::recordSent(selection_, instance); }
     /// Its attempt there ended.
-    void on_ended(TimePoint now, const std::string& instance, const selection::AttemptEnd& end);
+    void on_ended(TimePoint now, const std::string& instance, const selection::AttemptResult& end);
 
   private:
     /// Servers beside peers, and the one beside this daemon, that haven't said that they leave. Holds until
--- a/src/sidecar/server_exchange.cpp
+++ b/src/sidecar/server_exchange.cpp
@@ -27,7 +27,7 @@
     net::ExchangeOptions options{run.deadline + kAnswerSlack, run.cancel};
     options.expected_echo = context.dialect.echoed_field(run.request_id);
     if (context.has(Mechanism::kIdleLimit)) {
-        options.longest_idle = connection::longestIdle(server.idle_limit, now);
+        options.longest_idle = connection::currentMaxIdle(server.idle_limit, now);
     }
     if (run.call.at_most_once) {
         options.longest_idle = std::min<Duration>(options.longest_idle, kFreshIdle);
@@ -46,19 +46,19 @@
     const auto& progress = run.progress;
     const bool cancelled = run.is_cancelled();
     if (progress.connected) {
-        connection::noteConnected(server.backoff);
+        connection::recordConnected(server.backoff);
     } else if (!cancelled && error != std::errc::too_many_files_open) {
-        connection::noteConnectFailed(server.backoff, now);
+        connection::recordConnectFailure(server.backoff, now);
     }
     if (!response && !cancelled && progress.connection_reused && !progress.answer_started &&
         now - sent < kInstantLoss) {
-        connection::noteLost(server.idle_limit, now, progress.idle_for);
+        connection::recordLostConnection(server.idle_limit, now, progress.idle_for);
         log_event(Event::kConnectionForgotten,
                   {{"server", server.client.server().text()},
                    {"rested_ms", std::to_string(to_milliseconds(progress.idle_for))},
                    {"error", error.message()},
                    {"longest_rest_ms",
-                    std::to_string(to_milliseconds(connection::longestIdle(server.idle_limit, now)))}});
+                    std::to_string(to_milliseconds(connection::currentMaxIdle(server.idle_limit, now)))}});
     }
     return response;
 }
--- a/src/sidecar/zone_registrations.cpp
+++ b/src/sidecar/zone_registrations.cpp
@@ -40,7 +40,7 @@
         expected.push_back(key);
     }
     std::vector<store::StoreItem> missing;
-    for (const auto& key : discovery::takeListing(missing_, listed, expected)) {
+    for (const auto& key : discovery::findMissing(missing_, listed, expected)) {
         missing.push_back({key, addresses.at(key)});
     }
     // What doesn't fit is still missing at the next listing.
--- a/tests/incidents/chain_model.cpp
+++ b/tests/incidents/chain_model.cpp
@@ -12,12 +12,12 @@
 
 constexpr const char* endService = "end";
 constexpr milliseconds calmPeriod{ 1'000 };
-constexpr milliseconds pressedPeriod{ 400 };
+constexpr milliseconds pressurePeriod{ 400 };
 /** As the sidecar's gates have it. */
 constexpr double queuePerLimit = 1.5;
 /** Bounds of retries, as on the recorded deployment, and most servers that one call may reach. */
 const retry::WindowBudgetTerms budgetTerms{ 0.2, 49, milliseconds (10'000) };
-constexpr unsigned mostServers = 3;
+constexpr unsigned maxServers = 3;
 /** Time in which a server declines. */
 constexpr milliseconds declineTime{ 1 };
 /** Machines on which the servers above stand. */
@@ -112,7 +112,7 @@
     chain->tally = tallies[terms.row.name];
     ++chain->tally->sent;
     auto& limit = daemons[chain->daemon];
-    overload::noteOffered (limit, now, terms.row);
+    overload::recordOffered (limit, now, terms.row);
 
     if (refusesEarly && draw() < overload::refusedShare (limit, terms.row))
         ++chain->tally->refusedEarly;
@@ -121,7 +121,7 @@
     else
     {
         chain->admitted = now;
-        overload::noteRequestBegan (limit, terms.row.name);
+        overload::recordRequestStarted (limit, terms.row.name);
         at (now + fromMs (terms.betweenMs), [this, chain] { beginCall (chain); });
     }
 }
@@ -139,7 +139,7 @@
     budgets[call->daemon].on_request (now, endService);
     call->id = ++lastCall;
     call->tried.resize (servers.size());
-    call->waitEnds = now + fromMs (chain->terms->longestWaitMs);
+    call->waitEnds = now + fromMs (chain->terms->maxWaitMs);
     tryServers (call);
 }
 
@@ -208,7 +208,7 @@
 {
     auto& it = *servers[server];
     const auto inFlight = it.gate.load().in_flight;
-    overload::noteValue (it.running, now, inFlight);
+    overload::recordValue (it.running, now, inFlight);
 
     if (draw() < it.terms.declined)
         return at (now + declineTime, [this, server, call] { endDeclined (server, call); });
@@ -232,13 +232,13 @@
 void ChainModel::endDeclined (std::size_t server, const std::shared_ptr<Call>& call)
 {
     leaveServer (server, *call, admission::SampleOutcome::kShed);
-    const bool mayRepeat = ++call->reached < std::min<std::size_t> (mostServers, servers.size());
+    const bool mayRepeat = ++call->reached < std::min<std::size_t> (maxServers, servers.size());
 
     if (mayRepeat &&
         budgets[call->daemon].try_retry (now, endService, daemons.size(), retry::RetryReason::kNoAnswer))
         return tryServers (call);
 
-    overload::noteCallEnded (daemons[call->daemon], endService, false);
+    overload::recordCallEnded (daemons[call->daemon], endService, false);
     failChain (*call->chain);
 }
 
@@ -246,7 +246,7 @@
 {
     auto& it = *servers[server];
     const auto admitted = it.gate.finish (now, call.id, outcome, Duration::zero());
-    overload::noteValue (it.running, now, it.gate.load().in_flight);
+    overload::recordValue (it.running, now, it.gate.load().in_flight);
 
     for (const auto id : admitted)
         startWork (server, waiting.extract (id).mapped());
@@ -254,8 +254,8 @@
 
 void ChainModel::endChain (const Chain& chain)
 {
-    overload::noteRequestEnded (daemons[chain.daemon], chain.terms->row.name, now - chain.admitted);
-    noteWork (chain);
+    overload::recordRequestEnded (daemons[chain.daemon], chain.terms->row.name, now - chain.admitted);
+    recordWork (chain);
 }
 
 void ChainModel::failChain (const Chain& chain)
@@ -268,16 +268,16 @@
 {
     const auto& chain = call->chain;
     const auto& terms = *chain->terms;
-    overload::noteCallEnded (daemons[call->daemon], endService, refused);
+    overload::recordCallEnded (daemons[call->daemon], endService, refused);
 
     if (refused)
     {
         failChain (*chain);
 
         if (terms.isDirect)
-            overload::noteReach (daemons[chain->daemon], terms.row.name, endService);
+            overload::recordReach (daemons[chain->daemon], terms.row.name, endService);
         else
-            overload::noteFailedBelow (daemons[chain->daemon], now, terms.row.name, endService);
+            overload::recordDownstreamFailure (daemons[chain->daemon], now, terms.row.name, endService);
 
         return;
     }
@@ -291,7 +291,7 @@
         at (now + fromMs (terms.betweenMs), [this, chain] { beginCall (chain); });
 }
 
-void ChainModel::noteWork (const Chain& chain)
+void ChainModel::recordWork (const Chain& chain)
 {
     constexpr double sample = 0.05;
     const auto [mean, isNew] = works.try_emplace (chain.terms->row.name, chain.heldMs);
@@ -305,27 +305,27 @@
 
     for (const auto& it : servers)
     {
-        taken += overload::meanOf (it->running, now);
+        taken += overload::currentMean (it->running, now);
         places += it->gate.load().limit;
     }
 
     auto& own = daemons[daemon];
-    std::vector<overload::RowWork> ownWorks;
+    std::vector<overload::RowWork> ownRowWork;
 
     for (const auto& [row, ms] : works)
-        ownWorks.push_back ({ row, ms });
+        ownRowWork.push_back ({ row, ms });
 
-    overload::setOwnWorks (own, endService, ownWorks);
+    overload::setOwnRowWork (own, endService, ownRowWork);
     overload::endPeriod (own, now, { { endService, taken / places } });
     const auto reports = overload::ownReport (own);
 
     for (auto& it : daemons)
     {
         if (it.ownName != own.ownName)
-            overload::notePeerReport (it, now, own.ownName, reports);
+            overload::recordPeerReport (it, now, own.ownName, reports);
     }
 
-    const Duration period = overload::isUnderPressure (own) ? pressedPeriod : calmPeriod;
+    const Duration period = overload::isUnderPressure (own) ? pressurePeriod : calmPeriod;
     own.period = period;
     at (now + fromMs (static_cast<double> (to_milliseconds (period)) * (0.9 + 0.2 * draw())),
         [this, daemon] { report (daemon); });
--- a/tests/incidents/chain_model.hpp
+++ b/tests/incidents/chain_model.hpp
@@ -33,7 +33,7 @@
     double workMs = 0;    /**< Of each call, at a server of speed 1. */
     double betweenMs = 0; /**< Before each call, in the services above. */
     unsigned callPriority = 0; /**< At the gates. */
-    double longestWaitMs = 0;  /**< Of each call at gates. */
+    double maxWaitMs = 0;      /**< Of each call at gates. */
     bool isDirect = false;     /**< The request itself is the call: nothing was done for it before. */
     int callsPerRun = 1; /**< Calls in a row that one server above makes, through the daemon beside it. */
 };
@@ -134,7 +134,7 @@
     /** The request ends without an answer. */
     void failChain (const Chain&);
     void endCall (const std::shared_ptr<Call>&, bool refused);
-    void noteWork (const Chain&);
+    void recordWork (const Chain&);
     void report (std::size_t daemon);
     double draw() { return std::uniform_real_distribution<double> (0, 1) (random); }
     std::size_t anyDaemon() { return random() % daemons.size(); }
--- a/tests/incidents/crash_model.cpp
+++ b/tests/incidents/crash_model.cpp
@@ -26,7 +26,7 @@
 constexpr std::uint64_t numCallers = 4;
 constexpr milliseconds downTime{ 3'000 };
 constexpr milliseconds deadline{ 2'000 };
-constexpr int mostServers = 2;
+constexpr int maxServers = 2;
 constexpr int mostTries = 2;
 constexpr std::uint64_t fatalNumber = 0;
 
@@ -212,7 +212,7 @@
             return endTry (request);
         }
 
-        auto* server = request->numSent < mostServers ? choose (*request) : nullptr;
+        auto* server = request->numSent < maxServers ? choose (*request) : nullptr;
 
         if (server == nullptr)
             return endTry (request);
--- a/tests/incidents/restart_retries_test.cpp
+++ b/tests/incidents/restart_retries_test.cpp
@@ -54,7 +54,7 @@
 struct BudgetFleet
 {
     static constexpr std::size_t numDaemons = 13;
-    static constexpr unsigned mostServers = 3;
+    static constexpr unsigned maxServers = 3;
 
     BudgetFleet (const WindowBudgetTerms& budgetTerms, unsigned seed)
         : terms (budgetTerms),
@@ -75,7 +75,7 @@
             fleet[daemon]->on_request (now, "s");
             requests.add (now);
 
-            for (unsigned tried = 1; tried < mostServers && draw() < declined; ++tried)
+            for (unsigned tried = 1; tried < maxServers && draw() < declined; ++tried)
             {
                 if (! fleet[daemon]->try_retry (now, "s", numDaemons, RetryReason::kNoAnswer))
                     break;
--- a/tests/unit/admission/server_rate_test.cpp
+++ b/tests/unit/admission/server_rate_test.cpp
@@ -68,7 +68,7 @@
     const double per_s = GENERATE(0.5, 1.0, 11.5, 100.0);
     CAPTURE(per_s);
     ServerRate rate;
-    CHECK(rate.on_answer(at_ms(0), at_ms(0), rate_of(per_s)) == RateChange::kBegan);
+    CHECK(rate.on_answer(at_ms(0), at_ms(0), rate_of(per_s)) == RateChange::kStarted);
     std::vector<long long> sent;
     // Calm until 20 s: what is saved up meanwhile must not be let go at once.
     for (long long ms = 0; ms < 60'000; ms += 2) {
@@ -103,14 +103,14 @@
     CHECK(rate.limit() == rate_of(5));
     CHECK(rate.on_answer(at_ms(200), at_ms(120), std::nullopt) == RateChange::kEnded);
     CHECK_FALSE(rate.limit());
-    CHECK(rate.on_answer(at_ms(210), at_ms(130), rate_of(7)) == RateChange::kBegan);
-    CHECK(rate.on_answer(at_ms(220), at_ms(130), rate_of(8)) == RateChange::kMoved);
+    CHECK(rate.on_answer(at_ms(210), at_ms(130), rate_of(7)) == RateChange::kStarted);
+    CHECK(rate.on_answer(at_ms(220), at_ms(130), rate_of(8)) == RateChange::kChanged);
     CHECK(rate.age(at_ms(250)) == milliseconds(30));
 }
 
 TEST_CASE("what callers report counts until the server has answered") {
     ServerRate rate;
-    CHECK(rate.on_report(at_ms(0), rate_of(5)) == RateChange::kBegan);
+    CHECK(rate.on_report(at_ms(0), rate_of(5)) == RateChange::kStarted);
     CHECK(rate.on_report(at_ms(1), rate_of(50)) == RateChange::kNone);
     CHECK(rate.on_answer(at_ms(100), at_ms(2), std::nullopt) == RateChange::kEnded);
     CHECK(rate.on_report(at_ms(101), rate_of(5)) == RateChange::kNone);
@@ -131,7 +131,7 @@
     CHECK(gate.arrive(at_ms(0), call(1, 0)).verdict == GateVerdict::kAdmitted);
     CHECK(gate.arrive(at_ms(0), call(2, 0, 3)).verdict == GateVerdict::kQueued);
     CHECK(gate.arrive(at_ms(1), call(3, 0, 0)).verdict == GateVerdict::kQueued);
-    CHECK(gate.is_held_by_rate());
+    CHECK(gate.is_rate_limited());
     REQUIRE(gate.next_release(at_ms(1)));
     CHECK(*gate.next_release(at_ms(1)) >= at_ms(200));
     CHECK(*gate.next_release(at_ms(1)) < at_ms(201));
--- a/tests/unit/connection/connect_backoff_test.cpp
+++ b/tests/unit/connection/connect_backoff_test.cpp
@@ -9,11 +9,11 @@
 {
     const TimePoint now (seconds (50));
     ConnectBackoff backoff;
-    noteConnectFailed (backoff, now);
-    noteConnectFailed (backoff, now);
-    CHECK (takeAttempt (backoff, now));
-    noteConnected (backoff);
-    noteConnectFailed (backoff, now);
+    recordConnectFailure (backoff, now);
+    recordConnectFailure (backoff, now);
+    CHECK (acquireAttempt (backoff, now));
+    recordConnected (backoff);
+    recordConnectFailure (backoff, now);
     CHECK_FALSE (isUnreachable (backoff));
 }
 
@@ -22,15 +22,15 @@
     TimePoint now (seconds (50));
     ConnectBackoff backoff;
 
-    for (unsigned n = 0; n < mostFailures; ++n)
-        noteConnectFailed (backoff, now);
+    for (unsigned n = 0; n < maxFailures; ++n)
+        recordConnectFailure (backoff, now);
 
     CHECK (isUnreachable (backoff));
-    CHECK_FALSE (takeAttempt (backoff, now));
+    CHECK_FALSE (acquireAttempt (backoff, now));
     now += attemptInterval;
-    CHECK (takeAttempt (backoff, now));
-    CHECK_FALSE (takeAttempt (backoff, now));
-    noteConnected (backoff);
-    CHECK (takeAttempt (backoff, now));
-    CHECK (takeAttempt (backoff, now));
+    CHECK (acquireAttempt (backoff, now));
+    CHECK_FALSE (acquireAttempt (backoff, now));
+    recordConnected (backoff);
+    CHECK (acquireAttempt (backoff, now));
+    CHECK (acquireAttempt (backoff, now));
 }
--- a/tests/unit/discovery/registration_ages_test.cpp
+++ b/tests/unit/discovery/registration_ages_test.cpp
@@ -17,17 +17,17 @@
     RegistrationAges ages;
 
     for (unsigned i = 0; i < 10; ++i)
-        CHECK (takeListing (ages, start + i * registrationPeriod, { { "a", 5 + i } }).empty());
+        CHECK (findAbandoned (ages, start + i * registrationPeriod, { { "a", 5 + i } }).empty());
 }
 
 TEST_CASE ("a registration that nobody writes is abandoned after its lifetime, not before")
 {
     RegistrationAges ages;
-    CHECK (takeListing (ages, start, { { "a", 5 }, { "b", 6 } }).empty());
+    CHECK (findAbandoned (ages, start, { { "a", 5 }, { "b", 6 } }).empty());
     CHECK (
-        takeListing (ages, start + registrationLifetime - seconds (1), { { "a", 5 }, { "b", 7 } }).empty());
+        findAbandoned (ages, start + registrationLifetime - seconds (1), { { "a", 5 }, { "b", 7 } }).empty());
 
-    const auto abandoned = takeListing (ages, start + registrationLifetime, { { "a", 5 }, { "b", 7 } });
+    const auto abandoned = findAbandoned (ages, start + registrationLifetime, { { "a", 5 }, { "b", 7 } });
     REQUIRE (abandoned.size() == 1);
     CHECK (abandoned.front().key == "a");
     CHECK (abandoned.front().revision == 5);
@@ -36,7 +36,7 @@
 TEST_CASE ("ages begin when this process first sees a revision, and end with its key")
 {
     RegistrationAges ages;
-    takeListing (ages, start, { { "a", 5 } });
-    takeListing (ages, start + seconds (10), {});
-    CHECK (takeListing (ages, start + registrationLifetime, { { "a", 5 } }).empty());
+    findAbandoned (ages, start, { { "a", 5 } });
+    findAbandoned (ages, start + seconds (10), {});
+    CHECK (findAbandoned (ages, start + registrationLifetime, { { "a", 5 } }).empty());
 }
--- a/tests/unit/discovery/watch_role_test.cpp
+++ b/tests/unit/discovery/watch_role_test.cpp
@@ -97,37 +97,37 @@
 {
     WatchState state;
     auto view = ordinaryView();
-    view.peerWatches = true;
+    view.hasPeerWatch = true;
 
     for (int i = 0; i < 60; ++i)
-        CHECK (reviewRole (state, start + seconds (i), view, half) == WatchRole::none);
+        CHECK (updateRole (state, start + seconds (i), view, half) == WatchRole::none);
 }
 
 TEST_CASE ("without a working watch a daemon stands in after its own time")
 {
     WatchState state;
     const auto view = ordinaryView();
-    CHECK (reviewRole (state, start, view, half) == WatchRole::none);
-    CHECK (reviewRole (state, start + milliseconds (6'900), view, half) == WatchRole::none);
-    CHECK (reviewRole (state, start + milliseconds (7'100), view, half) == WatchRole::standIn);
+    CHECK (updateRole (state, start, view, half) == WatchRole::none);
+    CHECK (updateRole (state, start + milliseconds (6'900), view, half) == WatchRole::none);
+    CHECK (updateRole (state, start + milliseconds (7'100), view, half) == WatchRole::standIn);
     // It goes on while it is the only one.
-    CHECK (reviewRole (state, start + seconds (20), view, half) == WatchRole::standIn);
+    CHECK (updateRole (state, start + seconds (20), view, half) == WatchRole::standIn);
 
     auto relieved = view;
-    relieved.peerWatches = true;
-    CHECK (reviewRole (state, start + seconds (21), relieved, half) == WatchRole::none);
+    relieved.hasPeerWatch = true;
+    CHECK (updateRole (state, start + seconds (21), relieved, half) == WatchRole::none);
 }
 
 TEST_CASE ("a stand-in that the store turns away waits again")
 {
     WatchState state;
     const auto view = ordinaryView();
-    reviewRole (state, start, view, half);
-    REQUIRE (reviewRole (state, start + seconds (8), view, half) == WatchRole::standIn);
-    noteFailedTry (state, start + seconds (8));
-    CHECK (reviewRole (state, start + seconds (8), view, half) == WatchRole::none);
-    CHECK (reviewRole (state, start + seconds (12), view, half) == WatchRole::none);
-    CHECK (reviewRole (state, start + seconds (16), view, half) == WatchRole::standIn);
+    updateRole (state, start, view, half);
+    REQUIRE (updateRole (state, start + seconds (8), view, half) == WatchRole::standIn);
+    recordFailedAttempt (state, start + seconds (8));
+    CHECK (updateRole (state, start + seconds (8), view, half) == WatchRole::none);
+    CHECK (updateRole (state, start + seconds (12), view, half) == WatchRole::none);
+    CHECK (updateRole (state, start + seconds (16), view, half) == WatchRole::standIn);
 }
 
 TEST_CASE ("a fleet whose watchers are all lost finds a stand-in soon and without a rush")
@@ -145,7 +145,7 @@
             const double drawn = static_cast<double> (i) / static_cast<double> (n);
             auto now = start;
 
-            while (reviewRole (state, now, view, [drawn] { return drawn; }) != WatchRole::standIn)
+            while (updateRole (state, now, view, [drawn] { return drawn; }) != WatchRole::standIn)
                 now += milliseconds (10);
 
             first = std::min (first, now);
--- a/tests/unit/overload/root_limit_test.cpp
+++ b/tests/unit/overload/root_limit_test.cpp
@@ -18,15 +18,15 @@
 {
     for (int i = 0; i < n; ++i)
     {
-        noteOffered (state, now, vital);
-        noteOffered (state, now, plain);
+        recordOffered (state, now, vital);
+        recordOffered (state, now, plain);
     }
 }
 
 void endCalls (RootLimitState& state, const std::string& service, int n, int refused)
 {
     for (int i = 0; i < n; ++i)
-        noteCallEnded (state, service, i < refused);
+        recordCallEnded (state, service, i < refused);
 }
 
 /** A daemon both of whose rows reach "deep", after one period in which it refused nothing. */
@@ -34,8 +34,8 @@
 {
     RootLimitState state;
     state.ownName = "self";
-    noteReach (state, vital.name, "deep");
-    noteReach (state, plain.name, "deep");
+    recordReach (state, vital.name, "deep");
+    recordReach (state, plain.name, "deep");
     offerBoth (state, now, 50);
     endCalls (state, "deep", 100, 0);
     endPeriod (state, now, { { "deep", 1.0 } });
@@ -92,7 +92,7 @@
 
     bool playRequest (RootLimitState& daemon, const RootRow& row, int& room, double share)
     {
-        noteOffered (daemon, now, row);
+        recordOffered (daemon, now, row);
 
         if (isLimited && draw() < refusedShare (daemon, row))
         {
@@ -105,11 +105,11 @@
         for (int call = 0; call < callsPerRequest; ++call)
         {
             const bool refused = unused < 1 || room <= 0;
-            noteCallEnded (daemon, "deep", refused);
+            recordCallEnded (daemon, "deep", refused);
 
             if (refused)
             {
-                noteReach (daemon, row.name, "deep");
+                recordReach (daemon, row.name, "deep");
                 return false;
             }
 
@@ -132,7 +132,7 @@
             for (auto& to : daemons)
             {
                 if (to.ownName != from.ownName)
-                    notePeerReport (to, now, from.ownName, ownReport (from));
+                    recordPeerReport (to, now, from.ownName, ownReport (from));
             }
         }
     }
@@ -206,10 +206,10 @@
 {
     const auto now = TimePoint (seconds (1));
     auto state = daemonWithRows (now);
-    notePeerReport (state, now, "peer", { { "deep", 1'000, 0, 1, {} } });
+    recordPeerReport (state, now, "peer", { { "deep", 1'000, 0, 1, {} } });
     const auto later = now + period;
     endCalls (state, "deep", 5, 3);
-    notePeerReport (state, later, "peer", { { "deep", 2'000, 0, 1, {} } });
+    recordPeerReport (state, later, "peer", { { "deep", 2'000, 0, 1, {} } });
     endPeriod (state, later, { { "deep", 1.0 } });
     CHECK (state.services["deep"].admittedShare == 1);
 }
@@ -218,12 +218,12 @@
 {
     const auto now = TimePoint (seconds (1));
     auto state = daemonWithRows (now);
-    notePeerReport (state, now, "peer", { { "deep", 4'000, 3'000, 1, {} } });
+    recordPeerReport (state, now, "peer", { { "deep", 4'000, 3'000, 1, {} } });
     CHECK (state.services["deep"].reports["peer"].refusedBefore == 3'000);
-    notePeerReport (state, now + period, "peer", { { "deep", 100, 0, 1, {} } });
+    recordPeerReport (state, now + period, "peer", { { "deep", 100, 0, 1, {} } });
     CHECK (state.services["deep"].reports["peer"].endedBefore == 0);
-    notePeerReport (state, now + period, "gone", { { "deep", 0, 0, 1, {} } });
-    notePeerReport (state, now + 2 * period, "gone", { { "deep", 900, 900, 0.05, {} } });
+    recordPeerReport (state, now + period, "gone", { { "deep", 0, 0, 1, {} } });
+    recordPeerReport (state, now + 2 * period, "gone", { { "deep", 900, 900, 0.05, {} } });
     endCalls (state, "deep", 100, 0);
     endPeriod (state, now + 6 * period, { { "deep", 0.5 } });
     CHECK (state.services["deep"].admittedShare == 1);
@@ -236,7 +236,7 @@
     state.ownName = "self";
 
     for (const auto* peer : { "a", "b", "c" })
-        notePeerReport (state, now, peer, { { "deep", 10, 0, 0.4, { vital.name, plain.name } } });
+        recordPeerReport (state, now, peer, { { "deep", 10, 0, 0.4, { vital.name, plain.name } } });
 
     offerBoth (state, now, 50);
     endPeriod (state, now, { { "deep", 1.0 } });
@@ -319,8 +319,8 @@
     const auto now = TimePoint (seconds (10));
     auto state = daemonWithRows (now);
     state.period = seconds (3);
-    notePeerReport (state, now + seconds (1), "peer", { { "deep", 1'000, 0, 1, {} } });
-    notePeerReport (state, now + seconds (4), "peer", { { "deep", 2'000, 500, 1, {} } });
+    recordPeerReport (state, now + seconds (1), "peer", { { "deep", 1'000, 0, 1, {} } });
+    recordPeerReport (state, now + seconds (4), "peer", { { "deep", 2'000, 500, 1, {} } });
     endPeriod (state, now + seconds (9), { { "deep", 1.0 } });
     CHECK (state.services["deep"].admittedShare < 1);
 }
@@ -331,7 +331,7 @@
     const TimePoint start = TimePoint() + seconds (100);
     auto state = daemonWithRows (start);
     REQUIRE_FALSE (isUnderPressure (state));
-    noteCallEnded (state, "deep", true);
+    recordCallEnded (state, "deep", true);
     CHECK (isUnderPressure (state));
     endPeriod (state, start + period, {});
     endPeriod (state, start + 2 * period, {});
@@ -342,9 +342,9 @@
 {
     RootLimitState state;
     state.ownName = "self";
-    noteCallEnded (state, "deep", false);
+    recordCallEnded (state, "deep", false);
     CHECK (ownReport (state).empty());
-    noteCallEnded (state, "deep", true);
+    recordCallEnded (state, "deep", true);
     REQUIRE (ownReport (state).size() == 1);
     CHECK (ownReport (state).front().recentEnded == 2);
     CHECK (ownReport (state).front().recentRefused == 1);
@@ -355,7 +355,7 @@
     const TimePoint start = TimePoint() + seconds (100);
     RootLimitState state;
     state.ownName = "self";
-    noteReach (state, vital.name, "deep");
+    recordReach (state, vital.name, "deep");
     offerBoth (state, start, 50);
     ServicePressure report;
     report.service = "deep";
@@ -363,7 +363,7 @@
     report.refused = 5'000;
     report.recentEnded = 100;
     report.recentRefused = 40;
-    notePeerReport (state, start, "peer", { report });
+    recordPeerReport (state, start, "peer", { report });
     CHECK (isUnderPressure (state));
     const auto moves = endPeriod (state, start + milliseconds (10), { { "deep", 1.0 } });
     REQUIRE (moves.size() == 1);
@@ -382,10 +382,10 @@
         for (int n = 0; n < 1'000; ++n)
         {
             const auto now = start + milliseconds (20 * n);
-            noteOffered (state, now, row);
+            recordOffered (state, now, row);
 
             if (n % failEach == 0)
-                noteFailedBelow (state, now, row.name, "deep");
+                recordDownstreamFailure (state, now, row.name, "deep");
         }
     };
     play (plain, 200);
@@ -401,8 +401,8 @@
 
     for (int n = 0; n < 3; ++n)
     {
-        noteOffered (state, start + milliseconds (100 * n), vital);
-        noteFailedBelow (state, start + milliseconds (100 * n), vital.name, "deep");
+        recordOffered (state, start + milliseconds (100 * n), vital);
+        recordDownstreamFailure (state, start + milliseconds (100 * n), vital.name, "deep");
         CHECK (state.services["deep"].rows.contains (vital.name) == (n == 2));
     }
 }
--- a/tests/unit/overload/rows_under_way_test.cpp
+++ b/tests/unit/overload/rows_under_way_test.cpp
@@ -21,11 +21,11 @@
     for (int n = 0; n < 2'000; ++n)
     {
         now += milliseconds (50);
-        noteOffered (state, now, row);
+        recordOffered (state, now, row);
     }
 
-    noteRequestBegan (state, row.name);
-    noteRequestEnded (state, row.name, milliseconds (500));
+    recordRequestStarted (state, row.name);
+    recordRequestEnded (state, row.name, milliseconds (500));
     return state;
 }
 
@@ -42,16 +42,16 @@
     const auto& volume = state.rows[row.name];
     // 0.4 of 20 a second, half a second each: four under way.
     const double share = 0.4;
-    CHECK (steadiedShare (volume, share) > 0.9);
+    CHECK (correctedShare (volume, share) > 0.9);
 
     for (int n = 0; n < 4; ++n)
-        noteRequestBegan (state, row.name);
+        recordRequestStarted (state, row.name);
 
-    CHECK (steadiedShare (volume, share) == Approx (share).margin (0.05));
-    noteRequestBegan (state, row.name);
-    CHECK (steadiedShare (volume, share) == 0);
-    noteRequestEnded (state, row.name, milliseconds (500));
-    CHECK (steadiedShare (volume, share) == Approx (share).margin (0.05));
+    CHECK (correctedShare (volume, share) == Approx (share).margin (0.05));
+    recordRequestStarted (state, row.name);
+    CHECK (correctedShare (volume, share) == 0);
+    recordRequestEnded (state, row.name, milliseconds (500));
+    CHECK (correctedShare (volume, share) == Approx (share).margin (0.05));
 }
 
 TEST_CASE ("a whole share stays whole, and one stays while no request has ended", "[overload]")
@@ -59,20 +59,20 @@
     auto state = steadyDaemon();
 
     for (int n = 0; n < 100; ++n)
-        noteRequestBegan (state, row.name);
+        recordRequestStarted (state, row.name);
 
-    CHECK (steadiedShare (state.rows[row.name], 1) == 1);
+    CHECK (correctedShare (state.rows[row.name], 1) == 1);
 
     RootLimitState fresh;
-    noteOffered (fresh, TimePoint{}, row);
-    noteRequestBegan (fresh, row.name);
-    CHECK (steadiedShare (fresh.rows[row.name], 0.3) == 0.3);
+    recordOffered (fresh, TimePoint{}, row);
+    recordRequestStarted (fresh, row.name);
+    CHECK (correctedShare (fresh.rows[row.name], 0.3) == 0.3);
 }
 
 TEST_CASE ("ends that nobody saw begin don't count", "[overload]")
 {
     RootLimitState state;
-    noteOffered (state, TimePoint{}, row);
-    noteRequestEnded (state, row.name, milliseconds (10));
-    CHECK (state.rows[row.name].underWay == 0);
+    recordOffered (state, TimePoint{}, row);
+    recordRequestEnded (state, row.name, milliseconds (10));
+    CHECK (state.rows[row.name].inFlight == 0);
 }
--- a/tests/unit/overload/time_weighted_mean_test.cpp
+++ b/tests/unit/overload/time_weighted_mean_test.cpp
@@ -9,10 +9,10 @@
 {
     const TimePoint start (seconds (10));
     TimeWeightedMean mean;
-    noteValue (mean, start, 8);
-    CHECK (meanOf (mean, start) == Approx (0));
-    CHECK (meanOf (mean, start + milliseconds (250)) == Approx (4));
-    CHECK (meanOf (mean, start + seconds (20)) == Approx (8));
+    recordValue (mean, start, 8);
+    CHECK (currentMean (mean, start) == Approx (0));
+    CHECK (currentMean (mean, start + milliseconds (250)) == Approx (4));
+    CHECK (currentMean (mean, start + seconds (20)) == Approx (8));
 }
 
 TEST_CASE ("how often the value is noted makes no difference", "[overload]")
@@ -20,12 +20,12 @@
     const TimePoint start (seconds (10));
     TimeWeightedMean once;
     TimeWeightedMean often;
-    noteValue (once, start, 5);
+    recordValue (once, start, 5);
 
     for (int n = 0; n < 100; ++n)
-        noteValue (often, start + milliseconds (10 * n), 5);
+        recordValue (often, start + milliseconds (10 * n), 5);
 
-    CHECK (meanOf (often, start + seconds (1)) == Approx (meanOf (once, start + seconds (1))));
+    CHECK (currentMean (often, start + seconds (1)) == Approx (currentMean (once, start + seconds (1))));
 }
 
 TEST_CASE ("a value that alternates gives its mean", "[overload]")
@@ -35,9 +35,9 @@
 
     for (int n = 0; n < 2'000; ++n)
     {
-        noteValue (mean, now, n % 2 == 0 ? 10 : 0);
+        recordValue (mean, now, n % 2 == 0 ? 10 : 0);
         now += milliseconds (5);
     }
 
-    CHECK (meanOf (mean, now) == Approx (5).margin (0.2));
+    CHECK (currentMean (mean, now) == Approx (5).margin (0.2));
 }
--- a/tests/unit/overload/work_estimate_test.cpp
+++ b/tests/unit/overload/work_estimate_test.cpp
@@ -63,11 +63,11 @@
             const auto& step = steps.top();
 
             if (step.kind == 0)
-                noteRunBegan (work, step.time, step.row);
+                recordRunStarted (work, step.time, step.row);
             else if (step.kind == 1)
-                noteCallMade (work, step.time, step.row);
+                recordCallMade (work, step.time, step.row);
             else
-                noteRunEnded (work, step.time, step.row);
+                recordRunEnded (work, step.time, step.row);
         }
     }
 
@@ -109,13 +109,13 @@
     ServerModel server;
     server.play ({ { "index", 50, 150, { { "catalog", 4 } } } }, seconds (30), 1);
     RootLimitState limit;
-    CHECK (worksAt (server.work, limit, "export-svc", "end-svc").empty());
-    setOwnWorks (limit, "end-svc", { { "catalog", 30 } });
-    const auto below = worksAt (server.work, limit, "export-svc", "end-svc");
+    CHECK (estimateRowWork (server.work, limit, "export-svc", "end-svc").empty());
+    setOwnRowWork (limit, "end-svc", { { "catalog", 30 } });
+    const auto below = estimateRowWork (server.work, limit, "export-svc", "end-svc");
     REQUIRE (below.size() == 1);
     CHECK (below.front().row == "index");
     CHECK (below.front().ms == Approx (120).epsilon (0.05));
-    const auto here = worksAt (server.work, limit, "export-svc", "export-svc");
+    const auto here = estimateRowWork (server.work, limit, "export-svc", "export-svc");
     REQUIRE (here.size() == 1);
     CHECK (here.front().ms == Approx (150).epsilon (0.1));
 }
@@ -124,13 +124,13 @@
 {
     const auto start = TimePoint (seconds (100));
     WorkEstimate work;
-    noteCallMade (work, start, "catalog");
+    recordCallMade (work, start, "catalog");
     CHECK (work.rows.empty());
-    noteRunBegan (work, start, "index");
-    noteCallMade (work, start + milliseconds (10), "catalog");
-    noteRunEnded (work, start + milliseconds (100), "index");
+    recordRunStarted (work, start, "index");
+    recordCallMade (work, start + milliseconds (10), "catalog");
+    recordRunEnded (work, start + milliseconds (100), "index");
     CHECK (callsPerRun (work, "index", "catalog") == 0);
     CHECK (slotMsPerRun (work, "index") == 0);
-    noteRunBegan (work, start + seconds (200), "other");
+    recordRunStarted (work, start + seconds (200), "other");
     CHECK_FALSE (work.rows.contains ("index"));
 }
--- a/tests/unit/selection/return_trial_test.cpp
+++ b/tests/unit/selection/return_trial_test.cpp
@@ -27,31 +27,31 @@
     view.far = { &failing };
     ReturnTrials trials;
     const TimePoint begin{};
-    CHECK (takeTrial (trials, begin, view) == nullptr);
+    CHECK (startDueTrial (trials, begin, view) == nullptr);
 
-    noteTrialResult (trials, begin, "failing", true);
-    CHECK (takeTrial (trials, begin + trialInterval - milliseconds (1), view) == nullptr);
-    CHECK (takeTrial (trials, begin + trialInterval, view) == &failing);
+    recordTrialResult (trials, begin, "failing", true);
+    CHECK (startDueTrial (trials, begin + trialInterval - milliseconds (1), view) == nullptr);
+    CHECK (startDueTrial (trials, begin + trialInterval, view) == &failing);
     // Others wait for what the trial shows.
-    CHECK (takeTrial (trials, begin + trialInterval, view) == nullptr);
+    CHECK (startDueTrial (trials, begin + trialInterval, view) == nullptr);
 
     SECTION ("a success ends the trials")
     {
-        noteTrialResult (trials, begin + trialInterval, "failing", false);
-        CHECK (takeTrial (trials, begin + 10 * trialInterval, view) == nullptr);
+        recordTrialResult (trials, begin + trialInterval, "failing", false);
+        CHECK (startDueTrial (trials, begin + 10 * trialInterval, view) == nullptr);
     }
 
     SECTION ("a failure begins the time anew")
     {
         const auto failed = begin + trialInterval + milliseconds (500);
-        noteTrialResult (trials, failed, "failing", true);
-        CHECK (takeTrial (trials, failed + trialInterval - milliseconds (1), view) == nullptr);
-        CHECK (takeTrial (trials, failed + trialInterval, view) == &failing);
+        recordTrialResult (trials, failed, "failing", true);
+        CHECK (startDueTrial (trials, failed + trialInterval - milliseconds (1), view) == nullptr);
+        CHECK (startDueTrial (trials, failed + trialInterval, view) == &failing);
     }
 
     SECTION ("a trial whose end isn't heard of is repeated")
     {
-        CHECK (takeTrial (trials, begin + 2 * trialInterval, view) == &failing);
+        CHECK (startDueTrial (trials, begin + 2 * trialInterval, view) == &failing);
     }
 }
 
@@ -64,9 +64,9 @@
     with.near = { &failing };
     ReturnTrials trials;
     const TimePoint begin{};
-    noteTrialResult (trials, begin, "failing", true);
-    CHECK (takeTrial (trials, begin + 2 * trialInterval, without) == nullptr);
-    CHECK (takeTrial (trials, begin + 2 * trialInterval, with) == &failing);
-    CHECK (takeTrial (trials, begin + 2 * trialInterval + 2 * trialForgotten, with) == nullptr);
+    recordTrialResult (trials, begin, "failing", true);
+    CHECK (startDueTrial (trials, begin + 2 * trialInterval, without) == nullptr);
+    CHECK (startDueTrial (trials, begin + 2 * trialInterval, with) == &failing);
+    CHECK (startDueTrial (trials, begin + 2 * trialInterval + 2 * trialExpiry, with) == nullptr);
     CHECK (trials.empty());
 }
--- a/tests/unit/selection/server_selection_test.cpp
+++ b/tests/unit/selection/server_selection_test.cpp
@@ -98,7 +98,7 @@
     const double before = fixture.cost (plain);
 
     for (int n = 0; n < 5; ++n)
-        noteSent (fixture.state, "a");
+        recordSent (fixture.state, "a");
 
     CHECK (fixture.cost (plain) > before);
 }
@@ -108,8 +108,8 @@
     Fixture fixture;
     const auto known = server ("a", "here", 0);
     const double before = fixture.cost (known);
-    noteSent (fixture.state, "a");
-    noteEnded (fixture.state, fixture.now, "a", true);
+    recordSent (fixture.state, "a");
+    recordEnded (fixture.state, fixture.now, "a", true);
     CHECK (fixture.cost (known) > 5 * before);
     CHECK (expectedCost (fixture.state, fixture.now + seconds (60), known, usualUs) == Approx (before));
 }
@@ -117,7 +117,7 @@
 TEST_CASE ("a server that fails always is still chosen when it is the only one", "[selection]")
 {
     Fixture fixture;
-    noteEnded (fixture.state, fixture.now, "a", true);
+    recordEnded (fixture.state, fixture.now, "a", true);
     CHECK (fixture.choose ({ server ("a", "here", 0) }));
 }
 
@@ -147,11 +147,11 @@
 TEST_CASE ("a server that was given up after a long silence has failed, one that was not awaited hasn't",
            "[selection]")
 {
-    const milliseconds slowAfter (100);
-    CHECK (speaksAgainstServer ({ true, true, milliseconds (2'000), slowAfter }));
-    CHECK_FALSE (speaksAgainstServer ({ true, true, milliseconds (40), slowAfter }));
-    CHECK (speaksAgainstServer ({ false, true, milliseconds (1), slowAfter }));
-    CHECK_FALSE (speaksAgainstServer ({ false, false, milliseconds (2'000), slowAfter }));
+    const milliseconds slowThreshold (100);
+    CHECK (countsAsFailure ({ true, true, milliseconds (2'000), slowThreshold }));
+    CHECK_FALSE (countsAsFailure ({ true, true, milliseconds (40), slowThreshold }));
+    CHECK (countsAsFailure ({ false, true, milliseconds (1), slowThreshold }));
+    CHECK_FALSE (countsAsFailure ({ false, false, milliseconds (2'000), slowThreshold }));
 }
 
 TEST_CASE ("a server that fails fast doesn't look cheap, and one that nobody has tried not dear",
