--- a/soak/fault_injector.cpp
+++ b/soak/fault_injector.cpp
@@ -79,37 +79,37 @@
     loadStarted = TimePoint::clock::now();
 
     for (const auto& fault : plan)
-        net::EventLoop::spawn ([this, fault] { strike (fault); });
+        net::EventLoop::spawn ([this, fault] { injectFault (fault); });
 }
 
 /** Brings one fault about and takes it back. */
-void FaultInjector::strike (const Fault& fault)
+void FaultInjector::injectFault (const Fault& fault)
 {
     boost::this_fiber::sleep_until (loadStarted + fault.at);
     const auto machine = fault.machine.value;
     const auto ends = loadStarted + fault.at + fault.lasts;
-    struckUntil[machine] = std::max (struckUntil[machine], ends + options.aftermath);
+    disturbedUntil[machine] = std::max (disturbedUntil[machine], ends + options.recoveryTime);
 
-    if (strikesProcess (fault.kind) || strikesLinks (fault.kind))
-        checker.onMachineStruck (machine, ends, strikesProcess (fault.kind));
+    if (affectsProcess (fault.kind) || strikesLinks (fault.kind))
+        checker.onMachineDisturbed (machine, ends, affectsProcess (fault.kind));
 
-    if (strikesProcess (fault.kind))
-        strikeProcess (fault.kind, machine, ends);
+    if (affectsProcess (fault.kind))
+        injectProcessFault (fault.kind, machine, ends);
     else if (strikesLinks (fault.kind))
-        strikeLinks (fault.kind, machine, ends);
+        injectLinkFault (fault.kind, machine, ends);
     else if (strikesServer (fault.kind))
-        strikeServer (fault.kind, machine, ends);
+        injectServerFault (fault.kind, machine, ends);
     else
-        strikeStore (fault.kind, ends);
+        injectStoreFault (fault.kind, ends);
 }
 
-bool FaultInjector::isStruck (std::size_t machine) const
+bool FaultInjector::isDisturbed (std::size_t machine) const
 {
-    const auto it = struckUntil.find (machine);
-    return it != struckUntil.end() && TimePoint::clock::now() < it->second;
+    const auto it = disturbedUntil.find (machine);
+    return it != disturbedUntil.end() && TimePoint::clock::now() < it->second;
 }
 
-void FaultInjector::strikeProcess (FaultKind kind, std::size_t machine, TimePoint ends)
+void FaultInjector::injectProcessFault (FaultKind kind, std::size_t machine, TimePoint ends)
 {
     if (kind == FaultKind::processPaused)
     {
@@ -157,7 +157,7 @@
     }
 }
 
-void FaultInjector::strikeLinks (FaultKind kind, std::size_t machine, TimePoint ends)
+void FaultInjector::injectLinkFault (FaultKind kind, std::size_t machine, TimePoint ends)
 {
     auto& set = links[machine];
     LinkBehaviour spoiled;
@@ -195,7 +195,7 @@
     apply ({});
 }
 
-void FaultInjector::strikeServer (FaultKind kind, std::size_t machine, TimePoint ends)
+void FaultInjector::injectServerFault (FaultKind kind, std::size_t machine, TimePoint ends)
 {
     if (kind == FaultKind::serverReplaced)
     {
@@ -263,7 +263,7 @@
     fleet.configure (options.configuration (++version));
 }
 
-void FaultInjector::strikeStore (FaultKind kind, TimePoint ends)
+void FaultInjector::injectStoreFault (FaultKind kind, TimePoint ends)
 {
     auto& store = fleet.store();
 
--- a/soak/fault_injector.hpp
+++ b/soak/fault_injector.hpp
@@ -20,7 +20,7 @@
 struct InjectorOptions
 {
     Duration drainTimeout{}; /**< A replaced server serves on for twice that. */
-    Duration aftermath{};    /**< A machine counts as struck for this long after its fault. */
+    Duration recoveryTime{}; /**< A machine counts as struck for this long after its fault. */
     std::function<std::string (unsigned version)> configuration;
 };
 
@@ -50,24 +50,24 @@
     void changeConfiguration();
 
     /** Whether a fault of the machine lasts, or has ended just now. */
-    bool isStruck (std::size_t machine) const;
+    bool isDisturbed (std::size_t machine) const;
 
 private:
-    void strike (const Fault&);
-    void strikeProcess (FaultKind, std::size_t machine, TimePoint ends);
-    void strikeLinks (FaultKind, std::size_t machine, TimePoint ends);
-    void strikeServer (FaultKind, std::size_t machine, TimePoint ends);
+    void injectFault (const Fault&);
+    void injectProcessFault (FaultKind, std::size_t machine, TimePoint ends);
+    void injectLinkFault (FaultKind, std::size_t machine, TimePoint ends);
+    void injectServerFault (FaultKind, std::size_t machine, TimePoint ends);
     void signalInSeries (std::size_t machine, TimePoint ends);
     void replaceServer (std::size_t machine, TimePoint ends);
     void limitServer (std::size_t machine, TimePoint ends);
     void leaveByAnswers (std::size_t machine, TimePoint ends);
-    void strikeStore (FaultKind, TimePoint ends);
+    void injectStoreFault (FaultKind, TimePoint ends);
 
     testing::SidecarFleet& fleet;
     PromiseChecker& checker;
     InjectorOptions options;
     std::vector<MachineLinkSet> links;
-    std::map<std::size_t, TimePoint> struckUntil;
+    std::map<std::size_t, TimePoint> disturbedUntil;
     TimePoint loadStarted;
     unsigned version = 1; /**< Of the configuration that was put last. */
     std::size_t replacements = 0;
--- a/soak/plan.cpp
+++ b/soak/plan.cpp
@@ -51,7 +51,7 @@
 /** Whether both act on the same thing, so that the end of one would end the other too. */
 bool sharesTarget (const Fault& a, const Fault& b)
 {
-    const bool bothProcess = strikesProcess (a.kind) && strikesProcess (b.kind);
+    const bool bothProcess = affectsProcess (a.kind) && affectsProcess (b.kind);
     const bool bothInstance = needsInstance (a.kind) && needsInstance (b.kind);
 
     if (bothProcess || bothInstance)
@@ -100,7 +100,7 @@
     return faultNames.at (static_cast<std::size_t> (kind));
 }
 
-bool strikesProcess (FaultKind kind)
+bool affectsProcess (FaultKind kind)
 {
     return kind == FaultKind::processKilled || kind == FaultKind::processStopped ||
            kind == FaultKind::processPaused || kind == FaultKind::processSignalled;
@@ -114,13 +114,13 @@
     for (std::size_t n = 0; n < shape.numFaults; ++n)
     {
         const auto kind =
-            static_cast<FaultKind> (drawBelow (random, static_cast<std::size_t> (firstConstantKind)));
+            static_cast<FaultKind> (drawBelow (random, static_cast<std::size_t> (firstGuaranteedKind)));
         addUnlessClashing (plan, drawFault (random, kind, shape));
     }
 
     std::mt19937_64 further (seed ^ constantStream);
 
-    for (auto n = static_cast<std::size_t> (firstConstantKind); n < numFaultKinds; ++n)
+    for (auto n = static_cast<std::size_t> (firstGuaranteedKind); n < numFaultKinds; ++n)
         addUnlessClashing (plan, drawFault (further, static_cast<FaultKind> (n), shape));
 
     std::stable_sort (plan.begin(), plan.end(), [] (const Fault& a, const Fault& b) { return a.at < b.at; });
--- a/soak/plan.hpp
+++ b/soak/plan.hpp
@@ -54,13 +54,13 @@
 /** Number of the kinds above. */
 inline constexpr std::size_t numFaultKinds = static_cast<std::size_t> (FaultKind::configurationsInSeries) + 1;
 /** The first of the kinds that every plan has one fault of. */
-inline constexpr FaultKind firstConstantKind = FaultKind::serverLimited;
+inline constexpr FaultKind firstGuaranteedKind = FaultKind::serverLimited;
 
 /** The kind's name in reports. */
 std::string_view nameOf (FaultKind);
 
 /** Whether the fault acts on a machine's process. */
-bool strikesProcess (FaultKind);
+bool affectsProcess (FaultKind);
 
 /** One fault: `kind` strikes `machine` (where it has one) at `at` and is taken back after `lasts`. */
 struct Fault
--- a/soak/promises.cpp
+++ b/soak/promises.cpp
@@ -100,7 +100,7 @@
     if (arrival.target != request.sent.target)
         report (Promise::nothingUnasked, arrival.id.value + " as " + arrival.target);
 
-    if (++request.servers == request.sent.mostServers + 1)
+    if (++request.servers == request.sent.maxServers + 1)
         report (Promise::boundedServers, arrival.id.value);
 
     if (! arrival.runs)
@@ -139,7 +139,7 @@
 void PromiseChecker::onAnswer (const ReceivedAnswer& answer)
 {
     auto& request = requests[answer.id];
-    takeNotices (request, answer);
+    recordNotices (request, answer);
 
     if (answer.status == statusOk)
     {
@@ -151,28 +151,28 @@
         request.refusedWith = answer.status;
 }
 
-void PromiseChecker::takeNotices (const Request& request, const ReceivedAnswer& answer)
+void PromiseChecker::recordNotices (const Request& request, const ReceivedAnswer& answer)
 {
     const auto machine = request.sent.machine;
 
-    if (answer.signature.empty() || answer.at < struckUntil[machine])
+    if (answer.signature.empty() || answer.at < disturbedUntil[machine])
         return;
 
     const Pair pair{ machine, signerOf (answer) };
 
     if (answer.namesLimit)
-        toldLimit.emplace (pair, answer.at);
+        limitForwardedAt.emplace (pair, answer.at);
 
-    if (answer.saysLeaving)
-        toldLeaving.emplace (pair, answer.at);
+    if (answer.announcesLeaving)
+        leavingForwardedAt.emplace (pair, answer.at);
 }
 
 void PromiseChecker::checkLimit (std::size_t machine, const Arrival& arrival)
 {
     const auto named = limits.find (arrival.instance);
-    const auto told = toldLimit.find ({ machine, arrival.instance });
+    const auto told = limitForwardedAt.find ({ machine, arrival.instance });
 
-    if (named == limits.end() || told == toldLimit.end())
+    if (named == limits.end() || told == limitForwardedAt.end())
         return;
 
     auto& limit = named->second;
@@ -199,9 +199,9 @@
 
 void PromiseChecker::checkLeaving (const SentRequest& sent, const Arrival& arrival)
 {
-    const auto told = toldLeaving.find ({ sent.machine, arrival.instance });
+    const auto told = leavingForwardedAt.find ({ sent.machine, arrival.instance });
 
-    if (told != toldLeaving.end() && sent.at > told->second + drainTimeout)
+    if (told != leavingForwardedAt.end() && sent.at > told->second + drainTimeout)
         report (Promise::leavingIsFinal, sent.id.value + " at " + arrival.instance.value);
 }
 
@@ -210,14 +210,14 @@
     limits[instance] = { perS, from, until, {}, false };
 }
 
-void PromiseChecker::onMachineStruck (std::size_t machine, TimePoint until, bool isProcess)
+void PromiseChecker::onMachineDisturbed (std::size_t machine, TimePoint until, bool isProcess)
 {
     const auto isOfMachine = [&] (const auto& it) { return it.first.first == machine; };
-    struckUntil[machine] = std::max (struckUntil[machine], until);
-    std::erase_if (toldLimit, isOfMachine);
+    disturbedUntil[machine] = std::max (disturbedUntil[machine], until);
+    std::erase_if (limitForwardedAt, isOfMachine);
 
     if (isProcess)
-        std::erase_if (toldLeaving, isOfMachine);
+        std::erase_if (leavingForwardedAt, isOfMachine);
 }
 
 void PromiseChecker::onLeaveAcknowledged (const InstanceId& instance, TimePoint at)
--- a/soak/promises.hpp
+++ b/soak/promises.hpp
@@ -56,7 +56,7 @@
     std::string service;
     std::string target;
     bool mayRepeat = false;
-    unsigned mostServers = 2;    /**< Of its route. */
+    unsigned maxServers = 2;     /**< Of its route. */
     std::string tenant{};        /**< That holds its key; empty without one. */
     bool usesRevokedKey = false; /**< Its key is one that is taken away in the course of the round. */
     TimePoint at{};
@@ -71,8 +71,8 @@
     std::string echoedId;
     std::string signature;
     std::string body;
-    bool namesLimit = false;  /**< Its server names a rate limit in it. */
-    bool saysLeaving = false; /**< Its server says in it that it leaves. */
+    bool namesLimit = false;       /**< Its server names a rate limit in it. */
+    bool announcesLeaving = false; /**< Its server says in it that it leaves. */
     TimePoint at{};
 };
 
@@ -111,7 +111,7 @@
     void onLimitNamed (const InstanceId&, double perS, TimePoint from, TimePoint until);
     /** The machine's process or links are disturbed until then: what it had passed on binds it no more. A cut
         alone excuses nothing from a server's leaving. */
-    void onMachineStruck (std::size_t machine, TimePoint until, bool isProcess);
+    void onMachineDisturbed (std::size_t machine, TimePoint until, bool isProcess);
     void report (Promise, std::string detail);
 
     /** Checks what only the end can tell: that what was refused never ran. */
@@ -142,7 +142,7 @@
         bool isBroken = false;
     };
 
-    void takeNotices (const Request&, const ReceivedAnswer&);
+    void recordNotices (const Request&, const ReceivedAnswer&);
     void checkLimit (std::size_t machine, const Arrival&);
     void checkLeaving (const SentRequest&, const Arrival&);
     void checkSuccess (const Request&, const ReceivedAnswer&);
@@ -154,9 +154,9 @@
     std::map<RequestId, Request> requests;
     std::map<InstanceId, TimePoint> left;
     std::map<InstanceId, NamedLimit> limits;
-    std::map<Pair, TimePoint> toldLimit;   /**< When the machine passed on such an answer first. */
-    std::map<Pair, TimePoint> toldLeaving; /**< The same. */
-    std::map<std::size_t, TimePoint> struckUntil;
+    std::map<Pair, TimePoint> limitForwardedAt;   /**< When the machine passed on such an answer first. */
+    std::map<Pair, TimePoint> leavingForwardedAt; /**< The same. */
+    std::map<std::size_t, TimePoint> disturbedUntil;
     std::vector<BrokenPromise> found;
     std::size_t served = 0;
 };
--- a/soak/round.cpp
+++ b/soak/round.cpp
@@ -184,7 +184,7 @@
         checker.onSent (sent);
         // A key that was taken away is refused for good, as it should be.
         const bool counts = isWatched && ! sent.usesRevokedKey;
-        const bool wasSound = ! injector.isStruck (machine);
+        const bool wasSound = ! injector.isDisturbed (machine);
         const auto started = TimePoint::clock::now();
         testing::ClientRequest request{ sent.mayRepeat ? "GET" : "POST", sent.service + ".example",
                                         sent.target, sent.id.value, requestTime };
@@ -196,7 +196,7 @@
                             got.fields.find ("Server-Limit").has_value(),
                             got.fields.find ("Server-Leaving").has_value(), TimePoint::clock::now() });
 
-        if (wasSound && ! injector.isStruck (machine) && taken > requestTime + answerSlack)
+        if (wasSound && ! injector.isDisturbed (machine) && taken > requestTime + answerSlack)
             checker.report (Promise::answeredInTime,
                             sent.id.value + " after " + std::to_string (to_milliseconds (taken)) + " ms");
 
--- a/src/claims/claim_holder.cpp
+++ b/src/claims/claim_holder.cpp
@@ -27,7 +27,7 @@
 }
 
 void ClaimHolder::try_to_serve() {
-    const bool knows_enough = view_.previous.empty() || covers_all_grants(view_.previous, missing_);
+    const bool knows_enough = view_.previous.empty() || can_reconstruct_grants(view_.previous, missing_);
     if (!serving_ && is_holder() && sealed_epoch_ < view_.epoch && (knows_enough || !abstains_)) {
         serving_ = true;
         served_epochs_.insert(view_.epoch);
--- a/src/claims/claim_types.hpp
+++ b/src/claims/claim_types.hpp
@@ -103,11 +103,11 @@
 struct ClaimSyncRequest {
     std::uint64_t old_epoch = 0;
     std::uint64_t new_epoch = 0;
-    std::string asker;
+    std::string requester;
 
     template <typename Archive>
     void serialize(Archive& archive, unsigned /*version*/) {
-        serialize_all(archive, old_epoch, new_epoch, asker);
+        serialize_all(archive, old_epoch, new_epoch, requester);
     }
 };
 
--- a/src/claims/holder_view.cpp
+++ b/src/claims/holder_view.cpp
@@ -73,7 +73,7 @@
     return picked;
 }
 
-bool covers_all_grants(const std::vector<Holder>& holders, const std::vector<Holder>& missing) {
+bool can_reconstruct_grants(const std::vector<Holder>& holders, const std::vector<Holder>& missing) {
     const std::size_t per_key = std::min(kHoldersPerKey, holders.size());
     // With enough zones, the holders of a key stand in different ones.
     const bool zones_differ = zone_count(holders) >= kHoldersPerKey;
--- a/src/claims/holder_view.hpp
+++ b/src/claims/holder_view.hpp
@@ -39,7 +39,7 @@
 
 /// Whether what all holders but the `missing` ones know is enough to know every grant made under
 /// `holders`: every majority of every key's holders includes one that is not missing.
-bool covers_all_grants(const std::vector<Holder>& holders, const std::vector<Holder>& missing);
+bool can_reconstruct_grants(const std::vector<Holder>& holders, const std::vector<Holder>& missing);
 
 /// The holders that a fleet should have: up to `per_zone` of each zone, keeping those that are there already.
 std::vector<Holder> choose_holders(const std::vector<Holder>& current, const std::vector<Holder>& working,
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -111,7 +111,7 @@
     net::EventLoop::spawn([this] {
         while (true) {
             boost::this_fiber::sleep_for(kHousekeepingPeriod);
-            ledger_.forget(TimePoint::clock::now());
+            ledger_.expire(TimePoint::clock::now());
             gates_.housekeep();
         }
     });
--- a/src/daemon/handles/client_ledger_route.cpp
+++ b/src/daemon/handles/client_ledger_route.cpp
@@ -44,7 +44,7 @@
     settlement.used = result.retries_used;
     // A client that was refused and comes back after the time that it was given makes its first attempt
     // still.
-    settlement.forget_attempt = !result.response && result.execution == Execution::kNotRun;
+    settlement.discard_attempt = !result.response && result.execution == Execution::kNotRun;
     gates_.handle(settlement);
     return result;
 }
--- a/src/daemon/holder_view_keeper.cpp
+++ b/src/daemon/holder_view_keeper.cpp
@@ -115,7 +115,7 @@
             missing.push_back(holder);
         }
     }
-    return view.holders.empty() || claims::covers_all_grants(view.holders, missing);
+    return view.holders.empty() || claims::can_reconstruct_grants(view.holders, missing);
 }
 
 void HolderViewKeeper::propose(const std::vector<Holder>& holders) {
--- a/src/registration/refusal_limit.hpp
+++ b/src/registration/refusal_limit.hpp
@@ -11,10 +11,10 @@
 namespace anisehold::registration {
 
 /// A writer that sends nothing but refused heartbeats is logged once in this time. Chosen, not measured.
-inline constexpr seconds kRefusalPeriod{60};
+inline constexpr seconds kRefusalLogInterval{60};
 /// Most writers that are logged in that time; further ones aren't, so that names made up at random cost
 /// neither memory nor log lines. Chosen, not measured.
-inline constexpr std::size_t kMostRefusedWriters = 64;
+inline constexpr std::size_t kMaxLoggedWriters = 64;
 
 /// When each writer was last logged. Pure.
 struct RefusalLimit {
@@ -22,9 +22,9 @@
 };
 
 /// Whether a refused heartbeat of `writer` is to be logged now; if so, it counts as logged.
-inline bool take_refusal(RefusalLimit& limit, TimePoint now, const std::string& writer) {
-    std::erase_if(limit.logged, [&](const auto& entry) { return now - entry.second >= kRefusalPeriod; });
-    return limit.logged.size() < kMostRefusedWriters && limit.logged.emplace(writer, now).second;
+inline bool should_log_refusal(RefusalLimit& limit, TimePoint now, const std::string& writer) {
+    std::erase_if(limit.logged, [&](const auto& entry) { return now - entry.second >= kRefusalLogInterval; });
+    return limit.logged.size() < kMaxLoggedWriters && limit.logged.emplace(writer, now).second;
 }
 
 }  // namespace anisehold::registration
--- a/src/registration/server_registry.cpp
+++ b/src/registration/server_registry.cpp
@@ -26,12 +26,12 @@
     }
     const bool goes_on =
         left.was_displaced && left.born == heartbeat.born && left.sequence < heartbeat.sequence;
-    left.heard_since += goes_on ? 1 : 0;
+    left.heartbeats_since += goes_on ? 1 : 0;
     left.sequence = std::max(left.sequence, heartbeat.sequence);
-    return goes_on && left.heard_since >= kHeartbeatsOfLiving;
+    return goes_on && left.heartbeats_since >= kHeartbeatsOfLiving;
 }
 
-RegistryChange ServerRegistry::take_new_start(TimePoint now, const Heartbeat& heartbeat) {
+RegistryChange ServerRegistry::register_start(TimePoint now, const Heartbeat& heartbeat) {
     left_.erase(heartbeat.instance);
     // A server with another's address has replaced it.
     for (auto each = servers_.begin(); each != servers_.end();) {
@@ -49,21 +49,21 @@
 
 RegistryChange ServerRegistry::on_heartbeat(TimePoint now, const Heartbeat& heartbeat) {
     if (left_.contains(heartbeat.instance)) {
-        return is_back(heartbeat) ? take_new_start(now, heartbeat) : RegistryChange::kNone;
+        return is_back(heartbeat) ? register_start(now, heartbeat) : RegistryChange::kNone;
     }
     const auto found = servers_.find(heartbeat.instance);
     if (found == servers_.end()) {
-        return take_new_start(now, heartbeat);
+        return register_start(now, heartbeat);
     }
     const Heartbeat before = found->second.heartbeat;
     const bool gives_start = heartbeat.born != ServerStart() && before.born != ServerStart();
     if (gives_start && before.born != heartbeat.born) {
-        return before.born < heartbeat.born ? take_new_start(now, heartbeat) : RegistryChange::kNone;
+        return before.born < heartbeat.born ? register_start(now, heartbeat) : RegistryChange::kNone;
     }
     const bool is_late = heartbeat.sequence <= before.sequence;
     // A start serves one service: an entry that says otherwise is another writer's.
     const bool is_foreign = gives_start && before.service != heartbeat.service;
-    if (!found->second.is_found && (is_late || is_foreign)) {
+    if (!found->second.is_probed && (is_late || is_foreign)) {
         return RegistryChange::kNone;
     }
     found->second = {heartbeat, now, now + heartbeat.cold_remaining};
@@ -76,7 +76,7 @@
     return same ? RegistryChange::kRefreshed : RegistryChange::kChanged;
 }
 
-RegistryChange ServerRegistry::on_found(TimePoint now, const Heartbeat& found) {
+RegistryChange ServerRegistry::on_probed(TimePoint now, const Heartbeat& found) {
     const bool address_taken = std::any_of(servers_.begin(), servers_.end(), [&](const auto& entry) {
         return entry.second.heartbeat.address == found.address;
     });
@@ -106,13 +106,14 @@
     return servers_.erase(instance) > 0 ? RegistryChange::kLeft : RegistryChange::kNone;
 }
 
-std::vector<std::string> ServerRegistry::expire(TimePoint now, Duration silence, Duration found_silence) {
+std::vector<std::string> ServerRegistry::expire(TimePoint now, Duration silence, Duration probed_silence) {
     std::erase_if(left_, [&](const auto& entry) { return now - entry.second.at > kLeftRemembered; });
     std::vector<std::string> silent;
     std::erase_if(servers_, [&](const auto& entry) {
         const auto& server = entry.second;
         const bool is_draining = server.heartbeat.draining;
-        const bool expired = now - server.heard > (server.is_found && !is_draining ? found_silence : silence);
+        const bool expired =
+            now - server.last_seen > (server.is_probed && !is_draining ? probed_silence : silence);
         if (!expired) {
             return false;
         }
--- a/src/registration/server_registry.hpp
+++ b/src/registration/server_registry.hpp
@@ -45,9 +45,9 @@
 /// A registered server.
 struct RegisteredServer {
     Heartbeat heartbeat;
-    TimePoint heard;
+    TimePoint last_seen;
     TimePoint cold_until;
-    bool is_found = false;  ///< It was asked for its health; its own heartbeat is awaited.
+    bool is_probed = false;  ///< It was asked for its health; its own heartbeat is awaited.
 };
 
 /// Keeps the newest state of each server. Draining and leaving are final for one start of it; a later start
@@ -57,16 +57,16 @@
     RegistryChange on_heartbeat(TimePoint now, const Heartbeat& heartbeat);
     /// A server that said it was well when it was asked. Changes nothing if anything is known of the
     /// instance, or of its address.
-    RegistryChange on_found(TimePoint now, const Heartbeat& found);
+    RegistryChange on_probed(TimePoint now, const Heartbeat& found);
     /// The server says in its answers that it ends soon, whatever its heartbeats say. Final, as draining is.
     RegistryChange on_leaving_answer(const std::string& instance);
     /// `born`: of the start that leaves; 0 means the one that is known.
     RegistryChange on_leave(TimePoint now, const std::string& instance, ServerStart born = {});
     /// The server has crashed: nothing is known of it until it registers again. False if nothing was.
     bool on_crash(const std::string& instance) { return servers_.erase(instance) > 0; }
-    /// Forgets servers that fell silent for `silence`, found ones without a heartbeat after `found_silence`,
+    /// Forgets servers that fell silent for `silence`, found ones without a heartbeat after `probed_silence`,
     /// and what was remembered of those that left long ago. Returns the instances that fell silent.
-    std::vector<std::string> expire(TimePoint now, Duration silence, Duration found_silence);
+    std::vector<std::string> expire(TimePoint now, Duration silence, Duration probed_silence);
 
     /// The server, if it takes new requests.
     const RegisteredServer* find_ready(const std::string& instance) const;
@@ -82,14 +82,14 @@
         ServerStart born;
         /// Set if it never said so itself, but another one came to its address.
         bool was_displaced = false;
-        std::uint64_t sequence = 0;  ///< Of its latest heartbeat, if it was displaced.
-        unsigned heard_since = 0;    ///< Heartbeats since then.
+        std::uint64_t sequence = 0;     ///< Of its latest heartbeat, if it was displaced.
+        unsigned heartbeats_since = 0;  ///< Heartbeats since then.
     };
 
     /// Whether the heartbeat is of a start after the one that left, or of one that is there after all. Counts
     /// it.
     bool is_back(const Heartbeat& heartbeat);
-    RegistryChange take_new_start(TimePoint now, const Heartbeat& heartbeat);
+    RegistryChange register_start(TimePoint now, const Heartbeat& heartbeat);
 
     std::map<std::string, RegisteredServer> servers_;
     std::map<std::string, LeftServer> left_;
--- a/src/retry/attempt_plan.cpp
+++ b/src/retry/attempt_plan.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 bool AttemptPlan::retry_allowed(bool another_server) const {
-    return another_server && !retry_refused_ && reached_ + running_ < terms_.most_servers;
+    return another_server && !retry_refused_ && reached_ + running_ < terms_.max_servers;
 }
 
 AttemptStep AttemptPlan::next(TimePoint now, bool another_server) const {
@@ -65,7 +65,7 @@
         return std::min<TimePoint>(terms_.deadline, now + kServerPoll);
     }
     const bool may_hedge =
-        terms_.may_hedge && terms_.may_retry && !retry_refused_ && reached_ + running_ < terms_.most_servers;
+        terms_.may_hedge && terms_.may_retry && !retry_refused_ && reached_ + running_ < terms_.max_servers;
     if (!may_hedge) {
         return terms_.deadline;
     }
--- a/src/retry/attempt_plan.hpp
+++ b/src/retry/attempt_plan.hpp
@@ -13,8 +13,8 @@
 
 /// What bounds the attempts of one request.
 struct AttemptTerms {
-    bool may_retry = false;     ///< The request may run more than once.
-    unsigned most_servers = 1;  ///< Most servers that the request may reach.
+    bool may_retry = false;    ///< The request may run more than once.
+    unsigned max_servers = 1;  ///< Most servers that the request may reach.
     TimePoint deadline;
     /// A request that reached no server until then is refused: its caller gets a time to come back, which
     /// serves it better than a wait in one queue after the other.
@@ -66,7 +66,7 @@
     void on_retry_refused() { retry_refused_ = true; }
     void on_outcome(AttemptOutcome outcome);
     /// An attempt was cancelled before it ended. One that hasn't begun to be sent never will be.
-    void on_given_up(bool was_sent) {
+    void on_cancelled(bool was_sent) {
         on_outcome(was_sent ? AttemptOutcome::kUnknown : AttemptOutcome::kNotSent);
     }
 
--- a/src/retry/retry_budget.cpp
+++ b/src/retry/retry_budget.cpp
@@ -5,12 +5,12 @@
 namespace anisehold::retry {
 
 void RetryBudget::on_first_attempt(const std::string& row) {
-    const auto [entry, added] = tokens_.try_emplace(row, kMostTokens);
-    entry->second = std::min(entry->second + kShare, kMostTokens);
+    const auto [entry, added] = tokens_.try_emplace(row, kMaxTokens);
+    entry->second = std::min(entry->second + kShare, kMaxTokens);
 }
 
 bool RetryBudget::try_retry(const std::string& row) {
-    const auto [entry, added] = tokens_.try_emplace(row, kMostTokens);
+    const auto [entry, added] = tokens_.try_emplace(row, kMaxTokens);
     if (entry->second < 1.0) {
         return false;
     }
--- a/src/retry/retry_budget.hpp
+++ b/src/retry/retry_budget.hpp
@@ -18,7 +18,7 @@
 
     /// Tokens per first attempt, and the most that a row saves up. Chosen, not measured.
     static constexpr double kShare = 0.2;
-    static constexpr double kMostTokens = 20.0;
+    static constexpr double kMaxTokens = 20.0;
 
   private:
     std::map<std::string, double> tokens_;
--- a/src/retry/retry_ledger.cpp
+++ b/src/retry/retry_ledger.cpp
@@ -86,7 +86,7 @@
     if (nested != ledger.nested.end()) {
         nested->second.may_have_run = !request.not_run;
     }
-    if (request.forget_attempt) {
+    if (request.discard_attempt) {
         ledger.nested.erase(request.identity);
     }
 }
@@ -112,10 +112,10 @@
     return report;
 }
 
-void RetryLedger::forget(TimePoint now) {
+void RetryLedger::expire(TimePoint now) {
     std::erase_if(ledgers_, [&](const auto& entry) {
         const auto over_since = entry.second.ended ? entry.second.ended_at : entry.second.terms.deadline;
-        return now - over_since >= kRememberEnded;
+        return now - over_since >= kEndedCallRetention;
     });
 }
 
--- a/src/retry/retry_ledger.hpp
+++ b/src/retry/retry_ledger.hpp
@@ -65,12 +65,12 @@
     std::string overloaded_service;  ///< That refused the nested call or one below it; empty if none did.
     bool not_run = false;            ///< Nothing of it ran, so a non-repeatable one may be made again.
     std::uint64_t duration_us = 0;
-    bool forget_attempt = false;  ///< The attempt ran nothing and is not to be counted as one.
+    bool discard_attempt = false;  ///< The attempt ran nothing and is not to be counted as one.
 
     template <typename Archive>
     void serialize(Archive& archive, unsigned /*version*/) {
         serialize_all(archive, call_id, identity, loan_id, used, overloaded_service, not_run, duration_us,
-                      forget_attempt);
+                      discard_attempt);
     }
 };
 
@@ -93,14 +93,14 @@
     DrawReply draw(TimePoint now, const DrawRequest& request);
     /// Settling a loan a second time has no effect.
     void settle(const SettleRequest& request);
-    /// Ends a call. Nested calls that it still makes are answered with `kEnded` until `forget`.
+    /// Ends a call. Nested calls that it still makes are answered with `kEnded` until `expire`.
     LedgerReport close(TimePoint now, const std::string& call_id);
-    /// Drops calls that ended, or ran out of time, before `now - kRememberEnded`.
-    void forget(TimePoint now);
+    /// Drops calls that ended, or ran out of time, before `now - kEndedCallRetention`.
+    void expire(TimePoint now);
     std::size_t size() const { return ledgers_.size(); }
 
     /// How long an ended call is known as ended.
-    static constexpr seconds kRememberEnded{30};
+    static constexpr seconds kEndedCallRetention{30};
 
   private:
     struct NestedCall {
--- a/src/retry/server_refusal.hpp
+++ b/src/retry/server_refusal.hpp
@@ -17,12 +17,12 @@
 
 /// How long a refusal takes at most that a server decides on as the call arrives: several round trips within
 /// a site. Work takes longer, so what a server says later may be said of work that it gave up.
-inline constexpr milliseconds kLongestRefusal{20};
+inline constexpr milliseconds kMaxImmediateRefusalTime{20};
 
 /// Whether the server can't have begun the call. Servers say "not run" also where they gave up after a call
 /// of their own was refused or found no time left; run again at the next server, one key was begun at twelve.
 inline bool proves_not_begun(const ServerRefusal& refusal) {
-    return !refusal.made_calls && !refusal.time_is_up && refusal.held <= kLongestRefusal;
+    return !refusal.made_calls && !refusal.time_is_up && refusal.held <= kMaxImmediateRefusalTime;
 }
 
 }  // namespace anisehold::retry
--- a/src/routing/backend_registry.cpp
+++ b/src/routing/backend_registry.cpp
@@ -47,7 +47,7 @@
 void BackendRegistry::mark_leaving(TimePoint now, const Endpoint& server) {
     const auto found = servers_.find(server);
     if (found != servers_.end()) {
-        found->second.leaving_until = now + kLeavingHolds;
+        found->second.leaving_until = now + kLeavingDuration;
     }
 }
 
--- a/src/routing/backend_registry.hpp
+++ b/src/routing/backend_registry.hpp
@@ -56,7 +56,7 @@
     /// How long a server that said it was leaving counts as leaving, unless it says so again: the list, which
     /// lags, has named it by then. A health endpoint that says otherwise is not believed. Chosen, not
     /// measured.
-    static constexpr seconds kLeavingHolds{60};
+    static constexpr seconds kLeavingDuration{60};
 
   private:
     struct Server {
--- a/src/routing/configuration.hpp
+++ b/src/routing/configuration.hpp
@@ -44,7 +44,7 @@
     milliseconds timeout{0};         ///< Longest time from a request to its answer.
     milliseconds target_latency{0};  ///< Time within which an answer is worth most.
     unsigned priority = 0;           ///< 0 is the most important.
-    unsigned most_servers = 1;       ///< Most servers that one client attempt is sent to.
+    unsigned max_servers = 1;        ///< Most servers that one client attempt is sent to.
     std::vector<WeightedService> parts;
     bool allows_anonymous = false;  ///< May be called without a key, where there are tenants.
 };
@@ -52,7 +52,7 @@
 /// What the operators say of a service.
 struct ServiceTerms {
     std::string health_path;
-    unsigned most_connections = 0;  ///< Per server, from all callers together; 0 for unknown.
+    unsigned max_connections = 0;  ///< Per server, from all callers together; 0 for unknown.
 };
 
 /// Bounds of what a client may send.
--- a/src/sidecar/call_attempts.cpp
+++ b/src/sidecar/call_attempts.cpp
@@ -125,7 +125,7 @@
     retry::AttemptTerms terms;
     // A body that is streamed can be sent once only.
     terms.may_retry = may_retry(call.terms.retry) && request.body.whole();
-    terms.most_servers = request.body.whole() ? call.terms.most_servers : 1;
+    terms.max_servers = request.body.whole() ? call.terms.max_servers : 1;
     terms.deadline = call.deadline;
     terms.refuse_unsent_at = wait_ends(call);
     if (context_.has(Mechanism::kServerWait)) {
@@ -257,7 +257,7 @@
         // A streamed body is waited for below.
         if (!flight.streamed) {
             attempt->taken = true;
-            flight.plan.on_given_up(attempt->progress.request_started);
+            flight.plan.on_cancelled(attempt->progress.request_started);
         }
     }
     while (flight.streamed && flight.plan.running() > 0) {
--- a/src/sidecar/crash_exchange.cpp
+++ b/src/sidecar/crash_exchange.cpp
@@ -63,7 +63,7 @@
                           const char* source) {
     const auto now = TimePoint::clock::now();
     const bool was_condemned = is_condemned(now, request);
-    suspects::noteCrashes(ledger_, now, request, crashes, age);
+    suspects::recordCrashes(ledger_, now, request, crashes, age);
     const bool is_new = !was_condemned && is_condemned(now, request);
     if (is_new) {
         log_event(Event::kRequestCondemned, {{"digest", request.digest.text()},
@@ -75,7 +75,7 @@
 }
 
 void CrashExchange::on_crash(const std::vector<suspects::CrashedRun>& runs) {
-    for (const auto& run : suspects::blamed(runs)) {
+    for (const auto& run : suspects::likelyCauses(runs)) {
         if (raise(run.request, run.crashesBefore + 1, Duration::zero(), "crash")) {
             net::EventLoop::spawn([this, request = run.request] { keep_verdict(request); });
         }
@@ -96,7 +96,7 @@
 void CrashExchange::on_answered(const RequestIdentity& request) {
     const auto now = TimePoint::clock::now();
     const auto crashes = crashes_of(now, request);
-    if (crashes == 0 || !suspects::noteAnswered(ledger_, now, request)) {
+    if (crashes == 0 || !suspects::recordAnswered(ledger_, now, request)) {
         return;
     }
     log_event(Event::kRequestCleared,
@@ -108,7 +108,7 @@
 }
 
 bool CrashExchange::lift(const RequestDigest& digest) {
-    if (!suspects::forget(ledger_, TimePoint::clock::now(), digest)) {
+    if (!suspects::clearRequest(ledger_, TimePoint::clock::now(), digest)) {
         return false;
     }
     log_event(Event::kRequestCleared, {{"digest", digest.text()}, {"by", "operator"}});
@@ -120,8 +120,8 @@
 void CrashExchange::on_report(const suspects::CrashReport& report) {
     const auto now = TimePoint::clock::now();
     for (const auto& each : report.cleared) {
-        suspects::noteCleared(ledger_, now, {each.digest, CallerDigest(each.caller)},
-                              milliseconds(each.ageMs));
+        suspects::recordCleared(ledger_, now, {each.digest, CallerDigest(each.caller)},
+                                milliseconds(each.ageMs));
     }
     for (const auto& each : report.suspects) {
         for (const auto& it : each.callers) {
@@ -149,7 +149,7 @@
         }
         const milliseconds age(std::max<std::int64_t>(0, unix_milliseconds() - verdict->latestUnixMs));
         const bool is_over =
-            age > suspects::condemnationTime(verdict->numCrashes) + suspects::suspicionLifetime;
+            age > suspects::condemnationTime(verdict->numCrashes) + suspects::suspectLifetime;
         if (is_over && may_remove) {
             store_.remove(item.key, item.revision, store_call_deadline());
         }
--- a/src/sidecar/endpoints.cpp
+++ b/src/sidecar/endpoints.cpp
@@ -68,7 +68,7 @@
         if (problem.empty()) {
             return not_found();
         }
-        if (registration::take_refusal(refusals_, TimePoint::clock::now(), request.target)) {
+        if (registration::should_log_refusal(refusals_, TimePoint::clock::now(), request.target)) {
             log_event(Event::kHeartbeatRefused, {{"target", request.target}, {"reason", problem}});
         }
         return text_answer(kBadRequest, problem + "\n");
--- a/src/sidecar/gate_servers.cpp
+++ b/src/sidecar/gate_servers.cpp
@@ -67,8 +67,8 @@
     }
 }
 
-RegistryChange GateServers::on_found(TimePoint now, const registration::Heartbeat& found) {
-    const auto change = registry_.on_found(now, found);
+RegistryChange GateServers::on_probed(TimePoint now, const registration::Heartbeat& found) {
+    const auto change = registry_.on_probed(now, found);
     if (change == RegistryChange::kAppeared) {
         log_event(Event::kServerFound, {{"server", found.instance},
                                         {"service", found.service},
--- a/src/sidecar/gate_servers.hpp
+++ b/src/sidecar/gate_servers.hpp
@@ -24,7 +24,7 @@
     /// A server registered, or leaves.
     registration::RegistryChange on_registration(TimePoint now, const RegistrationCall& call);
     /// The server beside was asked for its health and is well.
-    registration::RegistryChange on_found(TimePoint now, const registration::Heartbeat& found);
+    registration::RegistryChange on_probed(TimePoint now, const registration::Heartbeat& found);
     /// The server says in an answer that it leaves; true if that is new.
     bool on_leaving_answer(const std::string& instance);
     /// The server has crashed: nothing that is known of it holds any more.
--- a/src/sidecar/proof_keeper.cpp
+++ b/src/sidecar/proof_keeper.cpp
@@ -58,7 +58,7 @@
     if (revocation <= milliseconds(0) || !context_.has(config::Mechanism::kKeyProof)) {
         return std::nullopt;
     }
-    return tenancy::longestProofAge(revocation);
+    return tenancy::maxProofAge(revocation);
 }
 
 Duration ProofKeeper::age_or_longest(TimePoint now) const {
@@ -121,7 +121,7 @@
 
 void ProofKeeper::on_read(TimePoint begun, std::uint64_t revision) {
     read_revision_ = std::max(read_revision_, revision);
-    tenancy::noteProof(state_, begun);
+    tenancy::recordProof(state_, begun);
 }
 
 void ProofKeeper::request_periodically() {
@@ -184,7 +184,7 @@
     if (!is_own || reply.version > configuration_.version()) {
         return;
     }
-    tenancy::noteProof(state_, tenancy::sentAt(reply.requester), milliseconds(reply.ageMs));
+    tenancy::recordProof(state_, tenancy::sentAt(reply.requester), milliseconds(reply.ageMs));
 }
 
 }  // namespace anisehold::sidecar
--- a/src/sidecar/quota_exchange.cpp
+++ b/src/sidecar/quota_exchange.cpp
@@ -62,7 +62,7 @@
 QuotaDecision QuotaExchange::take(const TenantTerms& tenant, TimePoint latest) {
     auto now = TimePoint::clock::now();
     auto& account = accounts_[tenant.name];
-    tenancy::noteDemand(account.cache, now);
+    tenancy::recordDemand(account.cache, now);
     while (!tenancy::takeToken(account.cache, now)) {
         if (now < account.cache.refusedUntil) {
             return {Verdict::kExceeded, refusal_pause(now, account.cache)};
@@ -91,7 +91,7 @@
 void QuotaExchange::give_back(const TenantName& tenant) {
     const auto found = accounts_.find(tenant);
     if (found != accounts_.end()) {
-        tenancy::giveBack(found->second.cache);
+        tenancy::returnUnusedToken(found->second.cache);
     }
 }
 
@@ -177,7 +177,7 @@
 
 void QuotaExchange::take_reply(Account& account, TimePoint sent, const QuotaReply& reply) {
     const auto now = TimePoint::clock::now();
-    tenancy::takeGrant(account.cache, sent, reply.granted);
+    tenancy::addGrant(account.cache, sent, reply.granted);
     account.cache.retryAt = now + milliseconds(reply.retryAfterMs);
     if (reply.granted == 0) {
         const milliseconds until_next(reply.untilNextMs);
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -170,7 +170,7 @@
         return;
     }
     const auto found = heartbeat_of(parts_->context, *health);
-    const auto change = parts_->gate.servers().on_found(TimePoint::clock::now(), found);
+    const auto change = parts_->gate.servers().on_probed(TimePoint::clock::now(), found);
     parts_->gate.on_health(*health);
     if (change == RegistryChange::kAppeared) {
         parts_->peers.announce();
--- a/src/sidecar/suspect_queue.cpp
+++ b/src/sidecar/suspect_queue.cpp
@@ -28,7 +28,7 @@
             return Turn();
         }
         if (suspects::mayBegin(slots_, known)) {
-            suspects::noteBegan(slots_, known);
+            suspects::recordStart(slots_, known);
             return Turn(*this, known);
         }
         const auto now = TimePoint::clock::now();
@@ -43,7 +43,7 @@
 }
 
 void SuspectQueue::leave(unsigned crashes) {
-    suspects::noteEnded(slots_, crashes);
+    suspects::recordEnd(slots_, crashes);
     for (auto* waiting : waiting_) {
         waiting->set();
     }
--- a/src/suspects/crash_ledger.cpp
+++ b/src/suspects/crash_ledger.cpp
@@ -30,13 +30,13 @@
 /** Whether what is known of the request is known of this caller's too. */
 bool speaksOf (const Suspect& suspect, CallerDigest caller)
 {
-    return suspect.callers.size() >= callersForAll || holds (suspect, caller);
+    return suspect.callers.size() >= callersToGeneralize || holds (suspect, caller);
 }
 
 bool isHarmless (const CrashLedger& ledger, TimePoint now, const RequestIdentity& request)
 {
     const auto it = ledger.cleared.find (request);
-    return it != ledger.cleared.end() && now - it->second < innocenceLifetime;
+    return it != ledger.cleared.end() && now - it->second < clearedLifetime;
 }
 
 } // namespace
@@ -48,10 +48,10 @@
 
     seconds time = firstCondemnation;
 
-    for (unsigned n = crashesToCondemn; n < numCrashes && time < longestCondemnation; ++n)
+    for (unsigned n = crashesToCondemn; n < numCrashes && time < maxCondemnation; ++n)
         time *= condemnationGrowth;
 
-    return std::min (time, longestCondemnation);
+    return std::min (time, maxCondemnation);
 }
 
 unsigned crashesOf (const CrashLedger& ledger, TimePoint now, const RequestIdentity& request)
@@ -73,15 +73,15 @@
            now - it->second.latest < condemnationTime (crashesOf (ledger, now, request));
 }
 
-bool noteCrashes (CrashLedger& ledger, TimePoint now, const RequestIdentity& request, unsigned numCrashes,
-                  Duration age)
+bool recordCrashes (CrashLedger& ledger, TimePoint now, const RequestIdentity& request, unsigned numCrashes,
+                    Duration age)
 {
     if (numCrashes == 0 || isHarmless (ledger, now, request))
         return false;
 
     const bool isKnown = ledger.suspects.contains (request.digest);
 
-    if (! isKnown && ledger.suspects.size() >= mostSuspects)
+    if (! isKnown && ledger.suspects.size() >= maxSuspects)
         dropLeast (ledger);
 
     auto& suspect = ledger.suspects[request.digest];
@@ -90,7 +90,7 @@
 
     if (isLonger)
     {
-        suspect.numCrashes = std::min (numCrashes, mostCrashes);
+        suspect.numCrashes = std::min (numCrashes, maxCrashes);
         suspect.latest = now - age;
     }
 
@@ -100,17 +100,17 @@
     return isLonger || isNewCaller;
 }
 
-bool noteAnswered (CrashLedger& ledger, TimePoint now, const RequestIdentity& request)
+bool recordAnswered (CrashLedger& ledger, TimePoint now, const RequestIdentity& request)
 {
     return ledger.suspects.contains (request.digest) && ! isHarmless (ledger, now, request) &&
-           noteCleared (ledger, now, request, Duration::zero());
+           recordCleared (ledger, now, request, Duration::zero());
 }
 
-bool noteCleared (CrashLedger& ledger, TimePoint now, const RequestIdentity& request, Duration age)
+bool recordCleared (CrashLedger& ledger, TimePoint now, const RequestIdentity& request, Duration age)
 {
-    const bool fits = ledger.cleared.contains (request) || ledger.cleared.size() < mostSuspects;
+    const bool fits = ledger.cleared.contains (request) || ledger.cleared.size() < maxSuspects;
 
-    if (age >= innocenceLifetime || ! fits)
+    if (age >= clearedLifetime || ! fits)
         return false;
 
     auto& answered = ledger.cleared[request];
@@ -127,7 +127,7 @@
     return true;
 }
 
-bool forget (CrashLedger& ledger, TimePoint now, const RequestDigest& digest)
+bool clearRequest (CrashLedger& ledger, TimePoint now, const RequestDigest& digest)
 {
     const auto suspect = ledger.suspects.find (digest);
 
@@ -147,13 +147,12 @@
                    [&] (const auto& entry)
                    {
                        const auto& it = entry.second;
-                       return now - it.latest > condemnationTime (it.numCrashes) + suspicionLifetime;
+                       return now - it.latest > condemnationTime (it.numCrashes) + suspectLifetime;
                    });
-    std::erase_if (ledger.cleared,
-                   [&] (const auto& entry) { return now - entry.second > innocenceLifetime; });
+    std::erase_if (ledger.cleared, [&] (const auto& entry) { return now - entry.second > clearedLifetime; });
 }
 
-std::vector<CrashedRun> blamed (const std::vector<CrashedRun>& runs)
+std::vector<CrashedRun> likelyCauses (const std::vector<CrashedRun>& runs)
 {
     unsigned most = 0;
 
--- a/src/suspects/crash_ledger.hpp
+++ b/src/suspects/crash_ledger.hpp
@@ -36,31 +36,31 @@
     to how many run the model condemned 17 harmless requests. */
 inline constexpr unsigned crashesToIsolate = 2;
 /** Callers whose request crashed servers from which on it is the same for all callers. */
-inline constexpr std::size_t callersForAll = 2;
+inline constexpr std::size_t callersToGeneralize = 2;
 /** How long a suspect is remembered after its latest crash. One that isn't sent again costs its entry only.
     Chosen, not measured. */
-inline constexpr seconds suspicionLifetime{ 600 };
+inline constexpr seconds suspectLifetime{ 600 };
 /** How long a caller's request counts as harmless after a server answered it, against late reports: those of
     a peer that was cut off for some seconds. Chosen, not measured. */
-inline constexpr seconds innocenceLifetime{ 30 };
+inline constexpr seconds clearedLifetime{ 30 };
 /** How long a request is condemned at first. Then one trial is made, since a new version of the service may
     bear it; each trial that crashes a server makes the next time six times as long. Chosen, not measured. */
 inline constexpr seconds firstCondemnation{ 600 };
 inline constexpr int condemnationGrowth = 6;
 /** A day: a service that is mended at all is mended by then, or an operator lifts the verdict. Chosen, not
     measured. */
-inline constexpr seconds longestCondemnation{ 86'400 };
+inline constexpr seconds maxCondemnation{ 86'400 };
 /** Most suspects of one daemon; a hundred may run at a server when it ends. Chosen, not measured. */
-inline constexpr std::size_t mostSuspects = 4'096;
+inline constexpr std::size_t maxSuspects = 4'096;
 /** Most crashes that are counted: the time of a condemnation has long reached its greatest. */
-inline constexpr unsigned mostCrashes = 32;
+inline constexpr unsigned maxCrashes = 32;
 
 /** One suspect. */
 struct Suspect
 {
     unsigned numCrashes = 0;           /**< Of its chain. */
     TimePoint latest;                  /**< When the last of them was. */
-    std::vector<CallerDigest> callers; /**< For whom it crashed servers; up to `callersForAll`. */
+    std::vector<CallerDigest> callers; /**< For whom it crashed servers; up to `callersToGeneralize`. */
 };
 
 /** What one daemon knows. */
@@ -82,18 +82,18 @@
 
 /** Takes in a chain of crashes, the last of which was `age` ago, under requests of this caller. True if
     that was new. */
-bool noteCrashes (CrashLedger&, TimePoint now, const RequestIdentity&, unsigned numCrashes,
-                  Duration age = {});
+bool recordCrashes (CrashLedger&, TimePoint now, const RequestIdentity&, unsigned numCrashes,
+                    Duration age = {});
 
 /** A server has given the request a whole answer. True if it was a suspect. */
-bool noteAnswered (CrashLedger&, TimePoint now, const RequestIdentity&);
+bool recordAnswered (CrashLedger&, TimePoint now, const RequestIdentity&);
 
 /** A peer reports that a server answered the request, `age` ago. That may come before the report of the
     crash. True as above. */
-bool noteCleared (CrashLedger&, TimePoint now, const RequestIdentity&, Duration age);
+bool recordCleared (CrashLedger&, TimePoint now, const RequestIdentity&, Duration age);
 
 /** Forgets a request for all callers; true if anything was known of it. */
-bool forget (CrashLedger&, TimePoint now, const RequestDigest&);
+bool clearRequest (CrashLedger&, TimePoint now, const RequestDigest&);
 
 /** Forgets what is too old. */
 void expire (CrashLedger&, TimePoint now);
@@ -108,6 +108,6 @@
 /** Whose chain a crash makes longer. All that ran there are suspects, but where one ran that had met two
     crashes before, and so ran alone among its like, it is taken for the cause and the others for
     bystanders. */
-std::vector<CrashedRun> blamed (const std::vector<CrashedRun>&);
+std::vector<CrashedRun> likelyCauses (const std::vector<CrashedRun>&);
 
 } // namespace anisehold::suspects
--- a/src/suspects/crash_report.cpp
+++ b/src/suspects/crash_report.cpp
@@ -49,7 +49,7 @@
 
     for (const auto& [digest, suspect] : ledger.suspects)
     {
-        if (suspect.numCrashes < crashesToIsolate && now - suspect.latest > weakSuspectsReported)
+        if (suspect.numCrashes < crashesToIsolate && now - suspect.latest > weakSuspectReportTime)
             continue;
 
         SuspectEntry it{ digest, suspect.numCrashes, ageMs (now, suspect.latest), {} };
@@ -66,8 +66,8 @@
     std::sort (report.suspects.begin(), report.suspects.end(), goesFirst);
     std::sort (report.cleared.begin(), report.cleared.end(),
                [] (const ClearedEntry& left, const ClearedEntry& right) { return left.ageMs < right.ageMs; });
-    report.suspects.resize (std::min (report.suspects.size(), mostReported));
-    report.cleared.resize (std::min (report.cleared.size(), mostReported));
+    report.suspects.resize (std::min (report.suspects.size(), maxReported));
+    report.cleared.resize (std::min (report.cleared.size(), maxReported));
     return report;
 }
 
@@ -83,9 +83,10 @@
 
     auto report = unarchive_bytes<CrashReport> (bytes.substr (1));
 
-    const auto hasTooManyCallers = [] (const SuspectEntry& it) { return it.callers.size() > callersForAll; };
+    const auto hasTooManyCallers = [] (const SuspectEntry& it)
+    { return it.callers.size() > callersToGeneralize; };
 
-    if (! report || report->suspects.size() > mostReported || report->cleared.size() > mostReported ||
+    if (! report || report->suspects.size() > maxReported || report->cleared.size() > maxReported ||
         std::any_of (report->suspects.begin(), report->suspects.end(), hasTooManyCallers))
         return std::nullopt;
 
@@ -110,7 +111,7 @@
         ! takeNumber (text, verdict.latestUnixMs))
         return std::nullopt;
 
-    while (! text.empty() && verdict.callers.size() < callersForAll)
+    while (! text.empty() && verdict.callers.size() < callersToGeneralize)
     {
         CallerDigest caller;
 
--- a/src/suspects/crash_report.hpp
+++ b/src/suspects/crash_report.hpp
@@ -72,12 +72,12 @@
 
 /** Most suspects, and most cleared requests, of one message: 40 and 28 bytes each for one caller, some 9
     KB, worked out. */
-inline constexpr std::size_t mostReported = 128;
+inline constexpr std::size_t maxReported = 128;
 
 /** How long suspects of one crash are reported. All peers got them at once, and twice; nearly all of these
     are harmless and don't come again, and a server may leave a hundred, 4 KB in each message. Chosen, not
     measured. */
-inline constexpr seconds weakSuspectsReported{ 10 };
+inline constexpr seconds weakSuspectReportTime{ 10 };
 
 /** What of the ledger is reported: those with the most crashes first, then the latest. */
 CrashReport reportOf (const CrashLedger&, TimePoint now);
--- a/src/suspects/suspect_slots.hpp
+++ b/src/suspects/suspect_slots.hpp
@@ -16,7 +16,7 @@
 /** Suspects of one crash that run at one server at once. The more, the more are left after a second crash;
     the fewer, the longer the harmless ones wait: at a crash with 30 running, three servers left and 90 ms of
     work, 4 make the last one wait 0.2 s, 1 makes it wait 0.8 s, worked out. */
-inline constexpr unsigned mostWeakSuspects = 4;
+inline constexpr unsigned maxWeakSuspects = 4;
 
 /** What runs now. */
 struct SuspectSlots
@@ -28,16 +28,16 @@
 /** Whether a suspect with so many crashes may begin. */
 inline bool mayBegin (const SuspectSlots& slots, unsigned numCrashes)
 {
-    return numCrashes >= crashesToIsolate ? slots.numStrong == 0 : slots.numWeak < mostWeakSuspects;
+    return numCrashes >= crashesToIsolate ? slots.numStrong == 0 : slots.numWeak < maxWeakSuspects;
 }
 
-inline void noteBegan (SuspectSlots& slots, unsigned numCrashes)
+inline void recordStart (SuspectSlots& slots, unsigned numCrashes)
 {
     ++(numCrashes >= crashesToIsolate ? slots.numStrong : slots.numWeak);
 }
 
 /** `numCrashes` as it was when the suspect began. */
-inline void noteEnded (SuspectSlots& slots, unsigned numCrashes)
+inline void recordEnd (SuspectSlots& slots, unsigned numCrashes)
 {
     auto& count = numCrashes >= crashesToIsolate ? slots.numStrong : slots.numWeak;
     count -= std::min (count, 1U);
--- a/src/tenancy/caller_verdict.cpp
+++ b/src/tenancy/caller_verdict.cpp
@@ -14,10 +14,10 @@
 
     const auto* tenant = holderOf (ring, *credentials.key);
 
-    if (! rules.longestProofAge)
+    if (! rules.maxProofAge)
         return { tenant != nullptr ? Admission::known : Admission::unauthorized, tenant };
 
-    if (! isProven (proof, now, *rules.longestProofAge))
+    if (! isProven (proof, now, *rules.maxProofAge))
         return { Admission::unproven };
 
     if (tenant != nullptr)
--- a/src/tenancy/caller_verdict.hpp
+++ b/src/tenancy/caller_verdict.hpp
@@ -40,8 +40,8 @@
 /** Terms of the verdict. */
 struct CallerRules
 {
-    bool allowsAnonymous = false;              /**< The route may be called without a key. */
-    std::optional<Duration> longestProofAge{}; /**< Nothing where keys needn't go out of force in time. */
+    bool allowsAnonymous = false;          /**< The route may be called without a key. */
+    std::optional<Duration> maxProofAge{}; /**< Nothing where keys needn't go out of force in time. */
 };
 
 /** The verdict on a request that came at `now`. */
--- a/src/tenancy/configuration_proof.hpp
+++ b/src/tenancy/configuration_proof.hpp
@@ -19,7 +19,7 @@
 
 /** Part of the revocation time for which a proof is good; the rest covers clocks that run apart. Chosen, not
     measured. */
-inline constexpr double usablePart = 0.95;
+inline constexpr double usableProofShare = 0.95;
 /** A key that isn't known is refused for good only on a proof younger than this: it may be newer than the
     configuration. Operators expect a new key to work within some two seconds. Chosen, not measured. */
 inline constexpr milliseconds unknownKeyProofAge{ 2'000 };
@@ -32,7 +32,7 @@
 
 /** The store, or a peer that knew it from there, answered a request that was sent at `sent`. `age` is what
     the peer added: how long before its reply it was proven. */
-inline void noteProof (ConfigurationProof& state, TimePoint sent, Duration age = Duration::zero())
+inline void recordProof (ConfigurationProof& state, TimePoint sent, Duration age = Duration::zero())
 {
     const auto moment = sent - std::max (age, Duration::zero());
     state.provenAt = state.provenAt ? std::max (*state.provenAt, moment) : moment;
@@ -51,9 +51,9 @@
 }
 
 /** How old a proof may be where keys must be out of force within `revocation`. */
-inline Duration longestProofAge (milliseconds revocation)
+inline Duration maxProofAge (milliseconds revocation)
 {
-    return std::chrono::duration_cast<Duration> (revocation * usablePart);
+    return std::chrono::duration_cast<Duration> (revocation * usableProofShare);
 }
 
 } // namespace anisehold::tenancy
--- a/src/tenancy/quota_bucket.hpp
+++ b/src/tenancy/quota_bucket.hpp
@@ -21,7 +21,7 @@
 /** Tokens of a new owner, which doesn't know what its predecessor gave out: fewer than what the fleet may go
     over its quota for want of an exchange (20 requests), so that single requests are served at once. Chosen,
     not measured. */
-inline constexpr double tokensOfNewOwner = 8;
+inline constexpr double initialOwnerTokens = 8;
 
 /** Tokens of one tenant. */
 struct QuotaBucket
@@ -30,7 +30,7 @@
     double tokens = 0;
     TimePoint filled; /**< When `tokens` was right. */
     TimePoint
-        lineEnds{}; /**< When all that were refused so far could have been served, one after the other. */
+        queueEnds{}; /**< When all that were refused so far could have been served, one after the other. */
 };
 
 /** What an owner gives. */
@@ -46,7 +46,7 @@
 inline QuotaBucket makeBucket (const QuotaTerms& terms, TimePoint now, TimePoint settled)
 {
     const double settledS = std::chrono::duration<double> (now - settled).count();
-    const double tokens = tokensOfNewOwner + terms.ratePerS * std::max (settledS, 0.0);
+    const double tokens = initialOwnerTokens + terms.ratePerS * std::max (settledS, 0.0);
     return { terms, std::min (tokens, std::max (terms.burst, 1.0)), now, {} };
 }
 
@@ -77,9 +77,9 @@
 
     if (refused > 0)
     {
-        bucket.lineEnds = std::max (bucket.lineEnds, now) + timeOf (refused);
-        bucket.lineEnds = std::min<TimePoint> (bucket.lineEnds, now + retry_after::kMostQuotaExceeded);
-        grant.retryAfter = std::max (grant.untilNext, bucket.lineEnds - now);
+        bucket.queueEnds = std::max (bucket.queueEnds, now) + timeOf (refused);
+        bucket.queueEnds = std::min<TimePoint> (bucket.queueEnds, now + retry_after::kMostQuotaExceeded);
+        grant.retryAfter = std::max (grant.untilNext, bucket.queueEnds - now);
     }
 
     return grant;
--- a/src/tenancy/tenant_types.hpp
+++ b/src/tenancy/tenant_types.hpp
@@ -61,7 +61,7 @@
 }
 
 /** Sets `usualPriority`, once all tenants are in the ring. */
-inline void noteUsualPriority (KeyRing& ring)
+inline void setUsualPriority (KeyRing& ring)
 {
     std::map<unsigned, std::size_t> counts;
 
--- a/src/tenancy/token_cache.hpp
+++ b/src/tenancy/token_cache.hpp
@@ -32,16 +32,16 @@
     TimePoint retryAt{};      /**< When refused requests may come back. */
 };
 
-inline void fadeDemand (TokenCache& cache, TimePoint now)
+inline void decayDemand (TokenCache& cache, TimePoint now)
 {
     const double passedS = std::chrono::duration<double> (now - cache.demandUpdated).count();
     cache.demand *= std::exp2 (-std::min (passedS, 100.0) / demandHalfLifeS);
     cache.demandUpdated = now;
 }
 
-inline void noteDemand (TokenCache& cache, TimePoint now)
+inline void recordDemand (TokenCache& cache, TimePoint now)
 {
-    fadeDemand (cache, now);
+    decayDemand (cache, now);
     cache.demand += 1;
 }
 
@@ -62,7 +62,7 @@
 }
 
 /** A request that had taken a token didn't run. */
-inline void giveBack (TokenCache& cache)
+inline void returnUnusedToken (TokenCache& cache)
 {
     ++cache.unused;
 }
@@ -76,7 +76,7 @@
 }
 
 /** The owner replied to a request for tokens that was sent at `sent`. */
-inline void takeGrant (TokenCache& cache, TimePoint sent, unsigned granted)
+inline void addGrant (TokenCache& cache, TimePoint sent, unsigned granted)
 {
     cache.tokens += granted;
     cache.usableUntil = sent + tokenLifetime;
--- a/tests/incidents/crash_model.cpp
+++ b/tests/incidents/crash_model.cpp
@@ -238,7 +238,7 @@
             if (! suspects::mayBegin (server.slots, crashes))
                 return server.waiting.push_back (request);
 
-            suspects::noteBegan (server.slots, crashes);
+            suspects::recordStart (server.slots, crashes);
         }
 
         const auto id = ++lastRun;
@@ -269,7 +269,7 @@
 
         if (run.crashesBefore > 0)
             tell (gateOf (server), [this, identity = run.request->identity()] (CrashLedger& ledger)
-                  { suspects::noteCleared (ledger, now, identity, {}); });
+                  { suspects::recordCleared (ledger, now, identity, {}); });
     }
 
     void leaveSlots (Server& server, const Run& run)
@@ -277,7 +277,7 @@
         if (run.crashesBefore == 0 || ! ways.limitsSuspects)
             return;
 
-        suspects::noteEnded (server.slots, run.crashesBefore);
+        suspects::recordEnd (server.slots, run.crashesBefore);
         auto waiting = std::move (server.waiting);
         server.waiting.clear();
 
@@ -317,16 +317,16 @@
         for (const auto& it : runs)
             crashed.push_back ({ it.request->identity(), it.crashesBefore });
 
-        for (const auto& it : suspects::blamed (crashed))
+        for (const auto& it : suspects::likelyCauses (crashed))
             tell (gateOf (server), [this, it] (CrashLedger& ledger)
-                  { suspects::noteCrashes (ledger, now, it.request, it.crashesBefore + 1); });
+                  { suspects::recordCrashes (ledger, now, it.request, it.crashesBefore + 1); });
 
         for (const auto& it : runs)
         {
             // The result shows it to the daemon near the caller.
             const auto identity = it.request->identity();
-            suspects::noteCrashes (ledgers[it.request->daemon], now, identity,
-                                   suspects::crashesOf (ledgers[gateOf (server)], now, identity));
+            suspects::recordCrashes (ledgers[it.request->daemon], now, identity,
+                                     suspects::crashesOf (ledgers[gateOf (server)], now, identity));
             after (milliseconds (1), [this, request = it.request] { send (request); });
         }
 
--- a/tests/incidents/crash_ways_test.cpp
+++ b/tests/incidents/crash_ways_test.cpp
@@ -21,7 +21,7 @@
 struct Summary
 {
     double numCrashes = 0;
-    int mostCrashes = 0;
+    int maxCrashes = 0;
     double failedShare = 0;
     int numFalseVerdicts = 0;
     double longestMs = 0;
@@ -38,7 +38,7 @@
         day.seed = static_cast<unsigned> (n);
         const auto it = playDay (ways, day);
         summary.numCrashes += it.numCrashes;
-        summary.mostCrashes = std::max (summary.mostCrashes, it.numCrashes);
+        summary.maxCrashes = std::max (summary.maxCrashes, it.numCrashes);
         summary.numFalseVerdicts += it.numFalseVerdicts;
         summary.longestMs += static_cast<double> (to_milliseconds (it.longest));
         numFailed += it.numFailed;
@@ -54,7 +54,7 @@
 void print (const char* way, const Summary& summary)
 {
     std::cout << std::fixed << std::setprecision (4) << "| " << way << " | " << summary.numCrashes
-              << " (most " << summary.mostCrashes << ") | " << summary.failedShare << " | "
+              << " (most " << summary.maxCrashes << ") | " << summary.failedShare << " | "
               << summary.numFalseVerdicts << " | " << std::setprecision (0) << summary.longestMs << " |\n";
 }
 
@@ -100,7 +100,7 @@
 {
     CrashDay day;
     const auto fatal = summaryOf ({}, day);
-    CHECK (fatal.mostCrashes == 3);
+    CHECK (fatal.maxCrashes == 3);
     CHECK (fatal.numFalseVerdicts == 0);
     CHECK (fatal.failedShare < 0.001);
     day.selfCrashGap = milliseconds (1'500);
@@ -115,6 +115,6 @@
     CrashDay day;
     day.hasOneCaller = false;
     const auto summary = summaryOf ({}, day);
-    CHECK (summary.mostCrashes <= 4);
+    CHECK (summary.maxCrashes <= 4);
     CHECK (summary.numFalseVerdicts == 0);
 }
--- a/tests/incidents/fatal_request_test.cpp
+++ b/tests/incidents/fatal_request_test.cpp
@@ -282,20 +282,20 @@
     REQUIRE (fleet.eventually (spreadTime,
                                [&]
                                {
-                                   listed = fleet.ask_operator_address (0, "GET", "/suspects/");
+                                   listed = fleet.fetch_from_admin_address (0, "GET", "/suspects/");
                                    return listed.find ("crashes=3 condemned") != std::string::npos;
                                }));
     const auto digest = listed.substr (0, listed.find (' '));
     const auto metrics = fleet.metrics_of (0);
     CHECK (metrics.find ("anisehold_suspects{state=\"condemned\"} 1") != std::string::npos);
-    CHECK (fleet.ask_operator_address (0, "DELETE", "/suspects/x").empty());
+    CHECK (fleet.fetch_from_admin_address (0, "DELETE", "/suspects/x").empty());
 
     // The new version of the service bears it.
     for (std::size_t n = 0; n < fleet.size(); ++n)
         fleet.machine (n).server->faults.fatal_target.clear();
 
     CHECK_FALSE (traffic.request (fatalTarget));
-    CHECK (fleet.ask_operator_address (0, "DELETE", "/suspects/" + digest) == "lifted\n");
+    CHECK (fleet.fetch_from_admin_address (0, "DELETE", "/suspects/" + digest) == "lifted\n");
     CHECK (fleet.eventually (spreadTime, [&] { return traffic.request (fatalTarget); }));
 }
 
--- a/tests/integration/leaving_proof_test.cpp
+++ b/tests/integration/leaving_proof_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::uint64_t received_while_draining(Fleet& fleet, const BackendPlace& place) {
+std::uint64_t received_while_draining(Fleet& fleet, const BackendProcess& place) {
     const auto counts = fleet.get(place.listen, "/lab/counts");
     return counts ? counts->at("received_while_draining").get<std::uint64_t>() : 0;
 }
--- a/tests/integration/table_proof_test.cpp
+++ b/tests/integration/table_proof_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::uint64_t revision_at(Fleet& fleet, const DaemonPlace& place) {
+std::uint64_t revision_at(Fleet& fleet, const DaemonProcess& place) {
     const auto status = fleet.get(place.admin, "/status");
     return status ? status->at("table_revision").get<std::uint64_t>() : 0;
 }
@@ -18,7 +18,7 @@
 
 bool all_have(Fleet& fleet, std::uint64_t revision) {
     return std::all_of(fleet.daemons().begin(), fleet.daemons().end(),
-                       [&](const DaemonPlace& place) { return revision_at(fleet, place) >= revision; });
+                       [&](const DaemonProcess& place) { return revision_at(fleet, place) >= revision; });
 }
 
 }  // namespace
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -74,7 +74,7 @@
     }
     for (const auto& service : deployment_.services) {
         for (unsigned server = 0; server < service.servers; ++server) {
-            BackendPlace place;
+            BackendProcess place;
             place.name = service.name + "-" + std::to_string(server + 1);
             place.service = service.name;
             place.zone = zones[server % zones.size()];
@@ -86,10 +86,10 @@
     }
 }
 
-std::vector<BackendPlace> Fleet::backends_of(const std::string& service) const {
-    std::vector<BackendPlace> found;
+std::vector<BackendProcess> Fleet::backends_of(const std::string& service) const {
+    std::vector<BackendProcess> found;
     std::copy_if(backends_.begin(), backends_.end(), std::back_inserter(found),
-                 [&](const BackendPlace& place) { return place.service == service; });
+                 [&](const BackendProcess& place) { return place.service == service; });
     return found;
 }
 
@@ -282,7 +282,7 @@
 
 bool Fleet::wait_until_ready() {
     return eventually(kReadyTimeout, [this] {
-        return std::all_of(daemons_.begin(), daemons_.end(), [this](const DaemonPlace& place) {
+        return std::all_of(daemons_.begin(), daemons_.end(), [this](const DaemonProcess& place) {
             const auto status = get(place.admin, "/status");
             return status && status->at("table_revision") > 0 && status->at("claims_serving") == true &&
                    status->at("servers").size() == backends_.size() &&
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -35,7 +35,7 @@
 };
 
 /// A back-end server of the fleet.
-struct BackendPlace {
+struct BackendProcess {
     std::string name;
     std::string service;
     std::string zone;
@@ -45,7 +45,7 @@
 };
 
 /// A daemon of the fleet.
-struct DaemonPlace {
+struct DaemonProcess {
     std::string name;
     std::string zone;
     Endpoint call;
@@ -66,9 +66,9 @@
     bool start();
 
     const lab::Deployment& deployment() const { return deployment_; }
-    const std::vector<DaemonPlace>& daemons() const { return daemons_; }
-    const std::vector<BackendPlace>& backends() const { return backends_; }
-    std::vector<BackendPlace> backends_of(const std::string& service) const;
+    const std::vector<DaemonProcess>& daemons() const { return daemons_; }
+    const std::vector<BackendProcess>& backends() const { return backends_; }
+    std::vector<BackendProcess> backends_of(const std::string& service) const;
     Endpoint store() const { return store_; }
     Endpoint machines() const { return machines_; }
 
@@ -148,8 +148,8 @@
     std::uint16_t next_port_;
     Endpoint store_;
     Endpoint machines_;
-    std::vector<DaemonPlace> daemons_;
-    std::vector<BackendPlace> backends_;
+    std::vector<DaemonProcess> daemons_;
+    std::vector<BackendProcess> backends_;
     std::map<std::string, Process> processes_;
 };
 
--- a/tests/support/sidecar_fleet.cpp
+++ b/tests/support/sidecar_fleet.cpp
@@ -285,11 +285,11 @@
 }
 
 std::string SidecarFleet::metrics_of(std::size_t machine) {
-    return ask_operator_address(machine, "GET", "/metrics");
+    return fetch_from_admin_address(machine, "GET", "/metrics");
 }
 
-std::string SidecarFleet::ask_operator_address(std::size_t machine, const std::string& method,
-                                               const std::string& target) {
+std::string SidecarFleet::fetch_from_admin_address(std::size_t machine, const std::string& method,
+                                                   const std::string& target) {
     net::HttpClient client(Fleet::loop().io(), machines_.at(machine)->metrics);
     auto request = net::make_request(method, target);
     std::error_code error;
--- a/tests/support/sidecar_fleet.hpp
+++ b/tests/support/sidecar_fleet.hpp
@@ -116,8 +116,8 @@
     std::string log_of(std::size_t machine) const;
     std::string metrics_of(std::size_t machine);
     /// What the address of the sidecar's metrics answers to a request; nothing if it isn't a 200.
-    std::string ask_operator_address(std::size_t machine, const std::string& method,
-                                     const std::string& target);
+    std::string fetch_from_admin_address(std::size_t machine, const std::string& method,
+                                         const std::string& target);
 
     /// Polls until `condition` holds; false if it doesn't in time.
     template <typename Condition>
--- a/tests/unit/claims/claims_test.cpp
+++ b/tests/unit/claims/claims_test.cpp
@@ -48,10 +48,10 @@
 TEST_CASE("missing one zone's holders leaves all grants known, missing two doesn't") {
     const std::vector<Holder> holders{holder("a", 1, "x"), holder("b", 1, "y"), holder("c", 1, "z"),
                                       holder("d", 1, "x")};
-    CHECK(covers_all_grants(holders, {}));
-    CHECK(covers_all_grants(holders, {holders[0], holders[3]}));
-    CHECK_FALSE(covers_all_grants(holders, {holders[0], holders[1]}));
-    CHECK_FALSE(covers_all_grants({holders[0]}, {holders[0]}));
+    CHECK(can_reconstruct_grants(holders, {}));
+    CHECK(can_reconstruct_grants(holders, {holders[0], holders[3]}));
+    CHECK_FALSE(can_reconstruct_grants(holders, {holders[0], holders[1]}));
+    CHECK_FALSE(can_reconstruct_grants({holders[0]}, {holders[0]}));
 }
 
 TEST_CASE("holders are kept, and replaced up to the number per zone") {
@@ -202,7 +202,7 @@
         std::uint64_t claimant;
         ClaimUpdate update;
         ClaimSyncRequest sync;
-        std::size_t asker = 0;
+        std::size_t requester = 0;
         std::uint64_t asker_boot = 0;
     };
 
@@ -243,7 +243,7 @@
                 missing.push_back(each);
             }
         }
-        return view_.holders.empty() || covers_all_grants(view_.holders, missing);
+        return view_.holders.empty() || can_reconstruct_grants(view_.holders, missing);
     }
 
     void learn_view_and_sync(Node& node) {
@@ -256,7 +256,7 @@
                 if (nodes_[index].self == source) {
                     Message message{Message::Kind::kSync,      index, source.boot_id, 0, {},
                                     node.state->sync_request()};
-                    message.asker = static_cast<std::size_t>(&node - nodes_.data());
+                    message.requester = static_cast<std::size_t>(&node - nodes_.data());
                     message.asker_boot = node.self.boot_id;
                     messages_.push_back(message);
                 }
@@ -314,11 +314,11 @@
             node.state->handle(message.update);
         } else if (message.kind == Message::Kind::kSync) {
             const auto reply = node.state->handle(now(), message.sync);
-            Node& asker = nodes_[message.asker];
-            const bool still_there = asker.self.boot_id == message.asker_boot &&
-                                     asker.state->view().epoch == message.sync.new_epoch;
+            Node& requester = nodes_[message.requester];
+            const bool still_there = requester.self.boot_id == message.asker_boot &&
+                                     requester.state->view().epoch == message.sync.new_epoch;
             if (still_there) {
-                asker.state->on_sync_reply(now(), node.self.id, reply);
+                requester.state->on_sync_reply(now(), node.self.id, reply);
             }
         } else {
             answer_claim(node, message.claimant);
--- a/tests/unit/platform/dialect_test.cpp
+++ b/tests/unit/platform/dialect_test.cpp
@@ -100,17 +100,17 @@
     const auto& configuration = *reading.configuration;
     CHECK(configuration.version == 7);
     CHECK(configuration.clients.body_bytes == 100);
-    CHECK(configuration.services.at("s1").most_connections == 364);
+    CHECK(configuration.services.at("s1").max_connections == 364);
     const auto* one = configuration.find("a.example", "/x/1");
     REQUIRE(one != nullptr);
     CHECK(one->retry == routing::RetryRule::kAtMostOnce);
     CHECK(one->timeout == milliseconds(1'200));
-    CHECK(one->most_servers == 2);
+    CHECK(one->max_servers == 2);
     const auto* two = configuration.find("a.example", "/y/1");
     REQUIRE(two != nullptr);
     CHECK(two->retry == routing::RetryRule::kLargeAnswer);
     CHECK(two->parts.size() == 2);
-    CHECK(two->most_servers == 1);
+    CHECK(two->max_servers == 1);
 }
 
 TEST_CASE("a malformed configuration is refused with its place") {
--- a/tests/unit/registration/server_registry_test.cpp
+++ b/tests/unit/registration/server_registry_test.cpp
@@ -89,7 +89,7 @@
 
 TEST_CASE("a server that was asked for its health takes requests until its heartbeat is overdue") {
     ServerRegistry registry;
-    CHECK(registry.on_found(kStart, heartbeat("a", 0)) == RegistryChange::kAppeared);
+    CHECK(registry.on_probed(kStart, heartbeat("a", 0)) == RegistryChange::kAppeared);
     REQUIRE(registry.find_ready("a") != nullptr);
     CHECK(registry.expire(kStart + seconds(3), seconds(9), seconds(3)).empty());
     CHECK(registry.expire(kStart + seconds(4), seconds(9), seconds(3)) == std::vector<std::string>{"a"});
@@ -97,7 +97,7 @@
 
 TEST_CASE("a found server's first heartbeat is taken, whatever its number, and bounds its silence") {
     ServerRegistry registry;
-    registry.on_found(kStart, heartbeat("a", 0));
+    registry.on_probed(kStart, heartbeat("a", 0));
     auto beat = heartbeat("a", 0);
     beat.slots = 9;
     CHECK(registry.on_heartbeat(kStart + seconds(1), beat) == RegistryChange::kChanged);
@@ -108,13 +108,13 @@
 TEST_CASE("what a server said itself goes before what it was found to be") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, heartbeat("a", 1, true));
-    CHECK(registry.on_found(kStart, heartbeat("a", 0)) == RegistryChange::kNone);
+    CHECK(registry.on_probed(kStart, heartbeat("a", 0)) == RegistryChange::kNone);
     CHECK(registry.find_ready("a") == nullptr);
     registry.on_leave(kStart, "a");
-    CHECK(registry.on_found(kStart, heartbeat("a", 0)) == RegistryChange::kNone);
+    CHECK(registry.on_probed(kStart, heartbeat("a", 0)) == RegistryChange::kNone);
     registry.on_heartbeat(kStart, heartbeat("b", 1));
-    CHECK(registry.on_found(kStart, heartbeat("c", 0)) == RegistryChange::kNone);
-    registry.on_found(kStart, heartbeat("d", 0, false, 9090));
+    CHECK(registry.on_probed(kStart, heartbeat("c", 0)) == RegistryChange::kNone);
+    registry.on_probed(kStart, heartbeat("d", 0, false, 9090));
     CHECK(registry.on_heartbeat(kStart, heartbeat("d", 3, true, 9090)) == RegistryChange::kDraining);
     CHECK(registry.find_ready("d") == nullptr);
 }
--- a/tests/unit/retry/attempt_plan_test.cpp
+++ b/tests/unit/retry/attempt_plan_test.cpp
@@ -10,8 +10,8 @@
 const TimePoint kStart = TimePoint() + seconds(100);
 const TimePoint kDeadline = kStart + seconds(2);
 
-AttemptPlan plan(bool may_retry, unsigned most_servers = 2) {
-    return AttemptPlan({may_retry, most_servers, kDeadline, TimePoint::max(), milliseconds(300)});
+AttemptPlan plan(bool may_retry, unsigned max_servers = 2) {
+    return AttemptPlan({may_retry, max_servers, kDeadline, TimePoint::max(), milliseconds(300)});
 }
 
 }  // namespace
@@ -144,15 +144,15 @@
         request.on_launched(kStart);
         CHECK(request.may_have_run());
         CHECK(request.next(kDeadline, true) == AttemptStep::kTimeUp);
-        request.on_given_up(was_sent);
+        request.on_cancelled(was_sent);
         CHECK(request.may_have_run() == was_sent);
         CHECK(request.running() == 0);
     }
     auto hedged = plan(true);
     hedged.on_launched(kStart);
     hedged.on_launched(kStart + milliseconds(300));
-    hedged.on_given_up(true);
-    hedged.on_given_up(false);
+    hedged.on_cancelled(true);
+    hedged.on_cancelled(false);
     CHECK(hedged.may_have_run());
 }
 
--- a/tests/unit/retry/retry_ledger_test.cpp
+++ b/tests/unit/retry/retry_ledger_test.cpp
@@ -118,7 +118,7 @@
     ledger.open("call", terms(1));
     ledger.close(at_ms(0), "call");
     CHECK(ledger.draw(at_ms(1), {"call", 1, true}).verdict == DrawVerdict::kEnded);
-    ledger.forget(at_ms(60'000));
+    ledger.expire(at_ms(60'000));
     CHECK(ledger.size() == 0);
 }
 
@@ -168,7 +168,7 @@
         CHECK(loan.verdict == DrawVerdict::kFirst);
         CHECK(loan.lent == 1);
         auto refused = settlement(loan, 1, 0);
-        refused.forget_attempt = true;
+        refused.discard_attempt = true;
         ledger.settle(refused);
         ledger.open_if_absent("call", terms(1));
     }
@@ -184,6 +184,6 @@
         budget.on_first_attempt("row");
         retries += budget.try_retry("row") ? 1 : 0;
     }
-    CHECK(retries <= 1'000 * RetryBudget::kShare + RetryBudget::kMostTokens);
+    CHECK(retries <= 1'000 * RetryBudget::kShare + RetryBudget::kMaxTokens);
     CHECK(retries >= 1'000 * RetryBudget::kShare);
 }
--- a/tests/unit/retry/server_refusal_test.cpp
+++ b/tests/unit/retry/server_refusal_test.cpp
@@ -7,8 +7,8 @@
 
 TEST_CASE("a refusal proves that a call wasn't begun only where nothing speaks of work") {
     CHECK(proves_not_begun({false, milliseconds(0), false}));
-    CHECK(proves_not_begun({false, kLongestRefusal, false}));
-    CHECK_FALSE(proves_not_begun({false, kLongestRefusal + microseconds(1), false}));
+    CHECK(proves_not_begun({false, kMaxImmediateRefusalTime, false}));
+    CHECK_FALSE(proves_not_begun({false, kMaxImmediateRefusalTime + microseconds(1), false}));
     CHECK_FALSE(proves_not_begun({true, milliseconds(1), false}));
     CHECK_FALSE(proves_not_begun({false, milliseconds(1), true}));
 }
--- a/tests/unit/soak/plan_test.cpp
+++ b/tests/unit/soak/plan_test.cpp
@@ -46,7 +46,7 @@
 
 TEST_CASE ("two faults of one process never overlap", "[soak]")
 {
-    const auto strikesProcess = [] (const Fault& it) { return it.kind <= FaultKind::processPaused; };
+    const auto affectsProcess = [] (const Fault& it) { return it.kind <= FaultKind::processPaused; };
 
     for (std::uint64_t seed = 0; seed < 2'000; ++seed)
     {
@@ -56,7 +56,7 @@
         {
             for (std::size_t b = a + 1; b < plan.size(); ++b)
             {
-                if (! strikesProcess (plan[a]) || ! strikesProcess (plan[b]) ||
+                if (! affectsProcess (plan[a]) || ! affectsProcess (plan[b]) ||
                     plan[a].machine != plan[b].machine)
                     continue;
 
--- a/tests/unit/soak/promises_test.cpp
+++ b/tests/unit/soak/promises_test.cpp
@@ -227,9 +227,9 @@
 }
 
 /** The first request's answer, which names what is given. */
-ReceivedAnswer answerWith (bool namesLimit, bool saysLeaving)
+ReceivedAnswer answerWith (bool namesLimit, bool announcesLeaving)
 {
-    return { RequestId ("l0"), 200, "l0", "i-1.l0", "back /back/1", namesLimit, saysLeaving, named };
+    return { RequestId ("l0"), 200, "l0", "i-1.l0", "back /back/1", namesLimit, announcesLeaving, named };
 }
 
 void arrive (PromiseChecker& checker, std::size_t request, TimePoint at)
@@ -266,7 +266,7 @@
     SECTION ("the machine was struck since")
     {
         checker.onAnswer (answerWith (true, false));
-        checker.onMachineStruck (4, named + seconds (1), false);
+        checker.onMachineDisturbed (4, named + seconds (1), false);
     }
     SECTION ("it was named a moment ago")
     {
@@ -296,12 +296,12 @@
     SECTION ("cut off since")
     {
         checker.onAnswer (answerWith (false, true));
-        checker.onMachineStruck (4, named + milliseconds (100), false);
+        checker.onMachineDisturbed (4, named + milliseconds (100), false);
     }
     SECTION ("restarted since")
     {
         checker.onAnswer (answerWith (false, true));
-        checker.onMachineStruck (4, named + milliseconds (100), true);
+        checker.onMachineDisturbed (4, named + milliseconds (100), true);
         isBound = false;
     }
 
--- a/tests/unit/suspects/crash_ledger_test.cpp
+++ b/tests/unit/suspects/crash_ledger_test.cpp
@@ -22,10 +22,10 @@
 TEST_CASE ("three crashes in a row condemn a request, two don't", "[suspects]")
 {
     CrashLedger ledger;
-    CHECK (noteCrashes (ledger, start, shopPage, 1));
-    CHECK (noteCrashes (ledger, start, shopPage, 2));
+    CHECK (recordCrashes (ledger, start, shopPage, 1));
+    CHECK (recordCrashes (ledger, start, shopPage, 2));
     CHECK_FALSE (isCondemned (ledger, start, shopPage));
-    CHECK (noteCrashes (ledger, start, shopPage, 3));
+    CHECK (recordCrashes (ledger, start, shopPage, 3));
     CHECK (isCondemned (ledger, start, shopPage));
     CHECK (crashesOf (ledger, start, shopPage) == 3);
 }
@@ -35,7 +35,7 @@
     CrashLedger ledger;
 
     for (int n = 0; n < 10; ++n)
-        noteCrashes (ledger, start, shopPage, 1);
+        recordCrashes (ledger, start, shopPage, 1);
 
     CHECK (crashesOf (ledger, start, shopPage) == 1);
 }
@@ -43,9 +43,9 @@
 TEST_CASE ("news in any order, and twice, lead to the same", "[suspects]")
 {
     CrashLedger ledger;
-    CHECK (noteCrashes (ledger, start, shopPage, 3, seconds (1)));
-    CHECK_FALSE (noteCrashes (ledger, start, shopPage, 1));
-    CHECK_FALSE (noteCrashes (ledger, start, shopPage, 3));
+    CHECK (recordCrashes (ledger, start, shopPage, 3, seconds (1)));
+    CHECK_FALSE (recordCrashes (ledger, start, shopPage, 1));
+    CHECK_FALSE (recordCrashes (ledger, start, shopPage, 3));
     CHECK (isCondemned (ledger, start + firstCondemnation - milliseconds (1'001), shopPage));
     CHECK_FALSE (isCondemned (ledger, start + firstCondemnation - milliseconds (999), shopPage));
 }
@@ -53,46 +53,46 @@
 TEST_CASE ("an answer clears a request, and late news don't bring it back", "[suspects]")
 {
     CrashLedger ledger;
-    noteCrashes (ledger, start, shopPage, 2);
-    CHECK (noteAnswered (ledger, start, shopPage));
+    recordCrashes (ledger, start, shopPage, 2);
+    CHECK (recordAnswered (ledger, start, shopPage));
     CHECK (crashesOf (ledger, start, shopPage) == 0);
-    CHECK_FALSE (noteCrashes (ledger, start + seconds (1), shopPage, 2, seconds (1)));
+    CHECK_FALSE (recordCrashes (ledger, start + seconds (1), shopPage, 2, seconds (1)));
     CHECK (crashesOf (ledger, start + seconds (1), shopPage) == 0);
-    CHECK (noteCrashes (ledger, start + innocenceLifetime, shopPage, 1));
+    CHECK (recordCrashes (ledger, start + clearedLifetime, shopPage, 1));
 }
 
 TEST_CASE ("news of an answer may overtake those of the crash", "[suspects]")
 {
     CrashLedger ledger;
-    CHECK_FALSE (noteCleared (ledger, start, shopPage, milliseconds (5)));
-    CHECK_FALSE (noteCrashes (ledger, start, shopPage, 1, milliseconds (10)));
+    CHECK_FALSE (recordCleared (ledger, start, shopPage, milliseconds (5)));
+    CHECK_FALSE (recordCrashes (ledger, start, shopPage, 1, milliseconds (10)));
     CHECK (ledger.suspects.empty());
 }
 
 TEST_CASE ("an answer to a request that is no suspect is not remembered", "[suspects]")
 {
     CrashLedger ledger;
-    CHECK_FALSE (noteAnswered (ledger, start, shopPage));
+    CHECK_FALSE (recordAnswered (ledger, start, shopPage));
     CHECK (ledger.cleared.empty());
 }
 
 TEST_CASE ("another caller's request is a strong suspect until it crashes a server itself", "[suspects]")
 {
     CrashLedger ledger;
-    noteCrashes (ledger, start, shopPage, 3);
+    recordCrashes (ledger, start, shopPage, 3);
     CHECK (crashesOf (ledger, start, deskPage) == 2);
     CHECK_FALSE (isCondemned (ledger, start, deskPage));
 
     SECTION ("after it has, it is condemned for all callers")
     {
-        CHECK (noteCrashes (ledger, start, deskPage, 3));
+        CHECK (recordCrashes (ledger, start, deskPage, 3));
         CHECK (isCondemned (ledger, start, deskPage));
         CHECK (isCondemned (ledger, start, tillPage));
     }
 
     SECTION ("if it is answered it is harmless, and the first one's stays condemned")
     {
-        CHECK (noteAnswered (ledger, start, deskPage));
+        CHECK (recordAnswered (ledger, start, deskPage));
         CHECK (crashesOf (ledger, start, deskPage) == 0);
         CHECK (isCondemned (ledger, start, shopPage));
         CHECK_FALSE (isCondemned (ledger, start, tillPage));
@@ -102,9 +102,9 @@
 TEST_CASE ("a chain goes on over callers", "[suspects]")
 {
     CrashLedger ledger;
-    noteCrashes (ledger, start, shopPage, 1);
-    noteCrashes (ledger, start, shopPage, crashesOf (ledger, start, shopPage) + 1);
-    noteCrashes (ledger, start, deskPage, crashesOf (ledger, start, deskPage) + 1);
+    recordCrashes (ledger, start, shopPage, 1);
+    recordCrashes (ledger, start, shopPage, crashesOf (ledger, start, shopPage) + 1);
+    recordCrashes (ledger, start, deskPage, crashesOf (ledger, start, deskPage) + 1);
     CHECK (isCondemned (ledger, start, shopPage));
     CHECK (isCondemned (ledger, start, tillPage));
 }
@@ -112,52 +112,52 @@
 TEST_CASE ("a condemnation ends with a trial, and a failed trial makes the next one longer", "[suspects]")
 {
     CrashLedger ledger;
-    noteCrashes (ledger, start, shopPage, 3);
+    recordCrashes (ledger, start, shopPage, 3);
     const auto trial = start + firstCondemnation;
     CHECK_FALSE (isCondemned (ledger, trial, shopPage));
     CHECK (crashesOf (ledger, trial, shopPage) == 3);
-    noteCrashes (ledger, trial, shopPage, 4);
+    recordCrashes (ledger, trial, shopPage, 4);
     CHECK (isCondemned (ledger, trial + condemnationGrowth * firstCondemnation - seconds (1), shopPage));
-    CHECK (condemnationTime (mostCrashes) == longestCondemnation);
+    CHECK (condemnationTime (maxCrashes) == maxCondemnation);
     CHECK (condemnationTime (2) == Duration::zero());
 }
 
 TEST_CASE ("what is old is forgotten, and the number of suspects is bounded", "[suspects]")
 {
     CrashLedger ledger;
-    noteCrashes (ledger, start, shopPage, 3);
+    recordCrashes (ledger, start, shopPage, 3);
 
-    for (std::uint64_t n = 0; n < 2 * mostSuspects; ++n)
-        noteCrashes (ledger, start + milliseconds (n), { { 1, n }, shop }, 1);
+    for (std::uint64_t n = 0; n < 2 * maxSuspects; ++n)
+        recordCrashes (ledger, start + milliseconds (n), { { 1, n }, shop }, 1);
 
-    CHECK (ledger.suspects.size() == mostSuspects);
+    CHECK (ledger.suspects.size() == maxSuspects);
     CHECK (crashesOf (ledger, start, shopPage) == 3);
     CHECK (crashesOf (ledger, start, { { 1, 0 }, shop }) == 0);
-    CHECK (crashesOf (ledger, start, { { 1, 2 * mostSuspects - 1 }, shop }) == 1);
+    CHECK (crashesOf (ledger, start, { { 1, 2 * maxSuspects - 1 }, shop }) == 1);
 
-    expire (ledger, start + suspicionLifetime + seconds (10));
+    expire (ledger, start + suspectLifetime + seconds (10));
     CHECK (ledger.suspects.size() == 1);
-    expire (ledger, start + firstCondemnation + suspicionLifetime + seconds (1));
+    expire (ledger, start + firstCondemnation + suspectLifetime + seconds (1));
     CHECK (ledger.suspects.empty());
 }
 
 TEST_CASE ("an operator's lifting holds for all callers", "[suspects]")
 {
     CrashLedger ledger;
-    noteCrashes (ledger, start, shopPage, 3);
-    noteCrashes (ledger, start, deskPage, 3);
-    CHECK (forget (ledger, start, page));
-    CHECK_FALSE (forget (ledger, start, page));
+    recordCrashes (ledger, start, shopPage, 3);
+    recordCrashes (ledger, start, deskPage, 3);
+    CHECK (clearRequest (ledger, start, page));
+    CHECK_FALSE (clearRequest (ledger, start, page));
     CHECK (crashesOf (ledger, start, shopPage) == 0);
-    CHECK_FALSE (noteCrashes (ledger, start + seconds (1), deskPage, 3, seconds (1)));
+    CHECK_FALSE (recordCrashes (ledger, start + seconds (1), deskPage, 3, seconds (1)));
 }
 
 TEST_CASE ("a crash with a strong suspect running speaks of that one alone", "[suspects]")
 {
     const RequestIdentity other{ { 0, 8 }, shop };
-    CHECK (blamed ({ { shopPage, 1 }, { other, 0 } }).size() == 2);
-    const auto strong = blamed ({ { shopPage, 2 }, { other, 1 } });
+    CHECK (likelyCauses ({ { shopPage, 1 }, { other, 0 } }).size() == 2);
+    const auto strong = likelyCauses ({ { shopPage, 2 }, { other, 1 } });
     REQUIRE (strong.size() == 1);
     CHECK (strong.front().request == shopPage);
-    CHECK (blamed ({}).empty());
+    CHECK (likelyCauses ({}).empty());
 }
--- a/tests/unit/suspects/crash_report_test.cpp
+++ b/tests/unit/suspects/crash_report_test.cpp
@@ -19,10 +19,10 @@
 CrashLedger filledLedger()
 {
     CrashLedger ledger;
-    noteCrashes (ledger, start, { { 1, 1 }, shop }, 1);
-    noteCrashes (ledger, start, { { 2, 2 }, shop }, 3);
-    noteCrashes (ledger, start, { { 2, 2 }, desk }, 3);
-    noteCleared (ledger, start, { { 3, 3 }, desk }, {});
+    recordCrashes (ledger, start, { { 1, 1 }, shop }, 1);
+    recordCrashes (ledger, start, { { 2, 2 }, shop }, 3);
+    recordCrashes (ledger, start, { { 2, 2 }, desk }, 3);
+    recordCleared (ledger, start, { { 3, 3 }, desk }, {});
     return ledger;
 }
 
@@ -49,7 +49,7 @@
 
 TEST_CASE ("suspects of one crash are told of for a short time, others longer", "[suspects]")
 {
-    const auto report = reportOf (filledLedger(), start + weakSuspectsReported + milliseconds (1));
+    const auto report = reportOf (filledLedger(), start + weakSuspectReportTime + milliseconds (1));
     REQUIRE (report.suspects.size() == 1);
     CHECK (report.suspects.front().numCrashes == 3);
 }
@@ -58,11 +58,11 @@
 {
     CrashLedger ledger;
 
-    for (std::uint64_t n = 0; n < 2 * mostReported; ++n)
-        noteCrashes (ledger, start, { { 1, n }, shop }, 1);
+    for (std::uint64_t n = 0; n < 2 * maxReported; ++n)
+        recordCrashes (ledger, start, { { 1, n }, shop }, 1);
 
     auto report = reportOf (ledger, start);
-    CHECK (report.suspects.size() == mostReported);
+    CHECK (report.suspects.size() == maxReported);
     CHECK (decodeCrashReport (encode (report)));
     report.suspects.push_back (report.suspects.front());
     CHECK_FALSE (decodeCrashReport (encode (report)));
@@ -89,7 +89,7 @@
         spoiled[at] = static_cast<char> (random());
         const auto report = decodeCrashReport (spoiled);
         // What can't be told from news is still within the bounds.
-        CHECK ((! report || report->suspects.size() <= mostReported));
+        CHECK ((! report || report->suspects.size() <= maxReported));
     }
 }
 
@@ -111,19 +111,19 @@
 {
     SuspectSlots slots;
 
-    for (unsigned n = 0; n < mostWeakSuspects; ++n)
+    for (unsigned n = 0; n < maxWeakSuspects; ++n)
     {
         CHECK (mayBegin (slots, 1));
-        noteBegan (slots, 1);
+        recordStart (slots, 1);
     }
 
     CHECK_FALSE (mayBegin (slots, 1));
     CHECK (mayBegin (slots, 2));
-    noteBegan (slots, 2);
+    recordStart (slots, 2);
     CHECK_FALSE (mayBegin (slots, 3));
-    noteEnded (slots, 2);
+    recordEnd (slots, 2);
     CHECK (mayBegin (slots, 3));
-    noteEnded (slots, 1);
+    recordEnd (slots, 1);
     CHECK (mayBegin (slots, 1));
 }
 
--- a/tests/unit/tenancy/caller_verdict_test.cpp
+++ b/tests/unit/tenancy/caller_verdict_test.cpp
@@ -9,7 +9,7 @@
 {
 
 const TimePoint start = TimePoint() + seconds (1'000);
-const Duration bound = longestProofAge (milliseconds (5'000));
+const Duration bound = maxProofAge (milliseconds (5'000));
 
 KeyRing ringOf (const std::string& firstHolder, const std::string& secondHolder)
 {
@@ -26,7 +26,7 @@
 ConfigurationProof provenAt (TimePoint moment)
 {
     ConfigurationProof freshness;
-    noteProof (freshness, moment);
+    recordProof (freshness, moment);
     return freshness;
 }
 
@@ -96,7 +96,7 @@
     auto ring = ringOf ("blue", "green");
     ring.tenants[TenantName ("blue")].priority = 0;
     ring.tenants[TenantName ("red")] = { TenantName ("red"), 1, {} };
-    noteUsualPriority (ring);
+    setUsualPriority (ring);
     const auto* blue = termsOf (ring, TenantName ("blue"));
     const auto* green = termsOf (ring, TenantName ("green"));
 
--- a/tests/unit/tenancy/configuration_proof_test.cpp
+++ b/tests/unit/tenancy/configuration_proof_test.cpp
@@ -18,22 +18,22 @@
 {
     ConfigurationProof state;
     CHECK_FALSE (proofAge (state, start));
-    noteProof (state, start);
+    recordProof (state, start);
     // However late the answer is read, a proof is no younger than its question.
     CHECK (*proofAge (state, start + seconds (4)) == seconds (4));
-    noteProof (state, start + seconds (2), milliseconds (700));
+    recordProof (state, start + seconds (2), milliseconds (700));
     CHECK (*proofAge (state, start + seconds (4)) == milliseconds (2'700));
 }
 
 TEST_CASE ("an older proof doesn't replace a younger one")
 {
     ConfigurationProof state;
-    noteProof (state, start + seconds (5));
-    noteProof (state, start + seconds (1));
-    noteProof (state, start + seconds (6), seconds (3));
+    recordProof (state, start + seconds (5));
+    recordProof (state, start + seconds (1));
+    recordProof (state, start + seconds (6), seconds (3));
     CHECK (*proofAge (state, start + seconds (6)) == seconds (1));
     // A peer's clock can't make a proof younger than its question.
-    noteProof (state, start + seconds (6), seconds (-9));
+    recordProof (state, start + seconds (6), seconds (-9));
     CHECK (*proofAge (state, start + seconds (6)) == Duration::zero());
 }
 
@@ -49,7 +49,7 @@
         std::vector<ConfigurationProof> chain (6);
         auto now = start;
         const auto truth = now;
-        noteProof (chain.front(), truth);
+        recordProof (chain.front(), truth);
         now += milliseconds (delayMs (random));
 
         for (std::size_t i = 1; i < chain.size(); ++i)
@@ -58,7 +58,7 @@
             now += milliseconds (delayMs (random)); // The question's way.
             const auto age = *proofAge (chain[i - 1], now);
             now += milliseconds (delayMs (random)); // The answer's way, and a pause of its reader.
-            noteProof (chain[i], asked, age);
+            recordProof (chain[i], asked, age);
             REQUIRE (*chain[i].provenAt <= truth);
         }
     }
@@ -67,8 +67,8 @@
 TEST_CASE ("a paused daemon finds its proof over when it wakes")
 {
     ConfigurationProof state;
-    noteProof (state, start);
-    const auto bound = longestProofAge (milliseconds (5'000));
+    recordProof (state, start);
+    const auto bound = maxProofAge (milliseconds (5'000));
     CHECK (isProven (state, start + milliseconds (4'750), bound));
     CHECK_FALSE (isProven (state, start + milliseconds (4'751), bound));
     CHECK_FALSE (isProven (state, start + seconds (30), bound));
--- a/tests/unit/tenancy/quota_test.cpp
+++ b/tests/unit/tenancy/quota_test.cpp
@@ -75,7 +75,7 @@
         {
             auto& cache = caches[random() % fleet];
             ++result.offered;
-            noteDemand (cache, now);
+            recordDemand (cache, now);
             bool has = takeToken (cache, now);
 
             if (! has && now >= cache.refusedUntil)
@@ -83,7 +83,7 @@
                 ++result.questions;
                 returnTokens (bucket, now, terms, std::exchange (cache.unused, 0));
                 const auto grant = takeTokens (bucket, now, terms, tokensWanted (cache, 1));
-                takeGrant (cache, now, grant.granted);
+                addGrant (cache, now, grant.granted);
                 cache.refusedUntil =
                     grant.granted > 0 ? now
                                       : now + std::clamp<Duration> (grant.untilNext, step, milliseconds (50));
@@ -191,7 +191,7 @@
 TEST_CASE ("a new owner doesn't give the burst that its predecessor may have given")
 {
     auto bucket = makeBucket (terms, start, start);
-    CHECK (takeTokens (bucket, start, terms, 100).granted == static_cast<unsigned> (tokensOfNewOwner));
+    CHECK (takeTokens (bucket, start, terms, 100).granted == static_cast<unsigned> (initialOwnerTokens));
     auto later = makeBucket (terms, start, start - milliseconds (500));
     CHECK (takeTokens (later, start, terms, 100).granted == 58);
 }
@@ -217,11 +217,11 @@
 TEST_CASE ("tokens that aren't used in time are returned")
 {
     TokenCache cache;
-    takeGrant (cache, start, 5);
+    addGrant (cache, start, 5);
     CHECK (takeToken (cache, start + milliseconds (10)));
     CHECK_FALSE (takeToken (cache, start + tokenLifetime));
     CHECK (cache.unused == 4);
-    giveBack (cache);
+    returnUnusedToken (cache);
     CHECK (cache.unused == 5);
 }
 
@@ -230,12 +230,12 @@
     TokenCache busy;
 
     for (int i = 0; i < 1'000; ++i)
-        noteDemand (busy, start + milliseconds (10 * i));
+        recordDemand (busy, start + milliseconds (10 * i));
 
     CHECK (tokensWanted (busy, 1) >= 13);
     CHECK (tokensWanted (busy, 1) <= 16);
     TokenCache quiet;
-    noteDemand (quiet, start);
+    recordDemand (quiet, start);
     CHECK (tokensWanted (quiet, 1) == 1);
 }
 
--- a/tests/unit/wire/peer_messages_golden_test.cpp
+++ b/tests/unit/wire/peer_messages_golden_test.cpp
@@ -189,7 +189,7 @@
     CHECK(settle->overloaded_service == "stock");
     CHECK(settle->not_run);
     CHECK(settle->duration_us == 0x2122232425262728);
-    CHECK(settle->forget_attempt);
+    CHECK(settle->discard_attempt);
     const auto replies = golden::dumped_in("peer-replies.txt");
     REQUIRE(replies.size() == 26);
     const auto claim_bytes = decode_reply(replies[7].bytes, kKey);
--- a/tests/unit/wire/platform_documents_test.cpp
+++ b/tests/unit/wire/platform_documents_test.cpp
@@ -47,7 +47,7 @@
                        "\n  timeout: " + milliseconds_text(route.timeout) +
                        "\n  target latency: " + milliseconds_text(route.target_latency) +
                        "\n  priority: " + std::to_string(route.priority) +
-                       "\n  most servers: " + std::to_string(route.most_servers) +
+                       "\n  most servers: " + std::to_string(route.max_servers) +
                        "\n  allows anonymous: " + yes_or_no(route.allows_anonymous) + "\n";
     for (const auto& part : route.parts) {
         text += "  part: " + part.service + " weight " + std::to_string(part.weight) + "\n";
@@ -86,7 +86,7 @@
     }
     for (const auto& [name, terms] : configuration.services) {
         text += "service: " + name + "\n  health path: " + terms.health_path +
-                "\n  most connections: " + std::to_string(terms.most_connections) + "\n";
+                "\n  most connections: " + std::to_string(terms.max_connections) + "\n";
     }
     const auto& clients = configuration.clients;
     text += "clients\n  header bytes: " + std::to_string(clients.header_bytes) +
