--- a/lab/backend.cpp
+++ b/lab/backend.cpp
@@ -199,7 +199,7 @@
 net::HttpResponse Backend::run(const KindSpec& kind, net::HttpRequest& request, net::CancelSignal& cancel) {
     const auto deadline = TimePoint::clock::now() + timeout_of(request);
     std::error_code error;
-    if (!net::read_whole(request.body, net::kLargestFetchedText, error)) {
+    if (!net::read_whole(request.body, net::kMaxFetchedTextBytes, error)) {
         return refuse("the request broke off");
     }
     if (slots_used_ >= slots_ && waiting_.size() >= kQueue) {
@@ -269,7 +269,7 @@
     if (execution == "not-run" || response->fields.find(header::kNotRun)) {
         return NestedOutcome::kNotRun;
     }
-    const auto body = net::read_whole(response->body, net::kLargestFetchedText, error);
+    const auto body = net::read_whole(response->body, net::kMaxFetchedTextBytes, error);
     const bool whole =
         response->status == kOk && body &&
         check_answer_body(*body, kind.name, request_id_of(parent), kind.answer_bytes) == BodyCheck::kWhole;
--- a/lab/load.cpp
+++ b/lab/load.cpp
@@ -158,7 +158,7 @@
         return result;
     }
     std::error_code error;
-    const auto body = net::read_whole(response.body, net::kLargestFetchedText, error);
+    const auto body = net::read_whole(response.body, net::kMaxFetchedTextBytes, error);
     if (!body) {
         return result;
     }
--- a/lab/service_caller.cpp
+++ b/lab/service_caller.cpp
@@ -74,7 +74,7 @@
             error.clear();
             progress = {};
             auto response = client_for(daemon).exchange(request, options, progress, error);
-            if (response && response->peer_closes) {
+            if (response && response->connection_close) {
                 avoid_until_[daemon] = now + kAvoidClosing;
             }
             if (response || progress.request_started) {
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -183,7 +183,7 @@
         return result;
     }
     registry_.on_outcome(now, server, routing::ServerOutcome::kSuccess);
-    const bool says_leaving = response->peer_closes && context_.has(Mechanism::kLeavingDetection);
+    const bool says_leaving = response->connection_close && context_.has(Mechanism::kLeavingDetection);
     if (says_leaving) {
         if (!registry_.is_leaving(now, server)) {
             observability::log_event(observability::Event::kServerLeaving,
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -100,7 +100,7 @@
     }
     response.status = parser.get().result_int();
     response.fields = copy_end_to_end_fields(parser.get());
-    response.peer_closes = !parser.keep_alive();
+    response.connection_close = !parser.keep_alive();
     connection.longest_idle = announced_idle_time(parser.get()["Keep-Alive"]);
     const auto& echo = options.expected_echo;
     if (echo && response.fields.find(echo->name) != echo->value) {
@@ -226,7 +226,7 @@
         error = std::make_error_code(std::errc::protocol_error);
         return std::nullopt;
     }
-    return read_whole(response->body, kLargestFetchedText, error);
+    return read_whole(response->body, kMaxFetchedTextBytes, error);
 }
 
 const Endpoint& HttpClient::server() const {
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -89,7 +89,7 @@
 };
 
 /// Largest body that `fetch_text` reads, in bytes.
-inline constexpr std::size_t kLargestFetchedText = 8 * 1024 * 1024;
+inline constexpr std::size_t kMaxFetchedTextBytes = 8 * 1024 * 1024;
 
 /// The body of a 200 answer as text; another status is the error `protocol_error`.
 std::optional<std::string> fetch_text(HttpClient& client, HttpRequest& request, TimePoint deadline,
--- a/src/net/http_types.hpp
+++ b/src/net/http_types.hpp
@@ -76,7 +76,7 @@
     unsigned status = 200;
     HeaderFields fields;
     Body body;
-    bool peer_closes = false;  ///< The sender announced that it closes the connection after this answer.
+    bool connection_close = false;  ///< The sender announced that it closes the connection after this answer.
 };
 
 /// A response with a small body.
--- a/src/sidecar/server_exchange.cpp
+++ b/src/sidecar/server_exchange.cpp
@@ -65,13 +65,13 @@
 
 ServerExchangeEnd end_of(const SidecarContext& context, const GateServer& server,
                          net::HttpResponse response) {
-    const auto nature = context.dialect.nature_of(response);
-    if (nature == AnswerNature::kSpoiled) {
+    const auto nature = context.dialect.classify_response(response);
+    if (nature == ResponseClass::kUntrusted) {
         return {without_answer(HopOutcome::kUnknown, ErrorKind::kBackendFailed)};
     }
     ServerExchangeEnd end;
     end.notice = context.dialect.read_notice(response);
-    if (nature == AnswerNature::kNotRun) {
+    if (nature == ResponseClass::kNotRun) {
         end.answer = without_answer(HopOutcome::kRefusedByServer, ErrorKind::kBackendRefused, server.latency);
         return end;
     }
--- a/src/sidecar/wire_dialect.hpp
+++ b/src/sidecar/wire_dialect.hpp
@@ -30,10 +30,10 @@
 };
 
 /// What a server's answer is.
-enum class AnswerNature {
-    kGenuine,  ///< The server's own answer, to be returned unchanged.
-    kNotRun,   ///< The server declares that it ran nothing.
-    kSpoiled,  ///< Not what a server sends; the request may have run.
+enum class ResponseClass {
+    kGenuine,    ///< The server's own answer, to be returned unchanged.
+    kNotRun,     ///< The server declares that it ran nothing.
+    kUntrusted,  ///< Not what a server sends; the request may have run.
 };
 
 /// What a server says of itself in an answer, whatever the request.
@@ -75,7 +75,7 @@
     /// Takes the caller's key out of the request and names the tenant to the server instead; an empty name
     /// for a request that belongs to none.
     virtual void write_tenant(net::HttpRequest& request, const tenancy::TenantName& tenant) const = 0;
-    virtual AnswerNature nature_of(const net::HttpResponse& response) const = 0;
+    virtual ResponseClass classify_response(const net::HttpResponse& response) const = 0;
     /// Nothing if another server than the one that was meant may have written the answer.
     virtual std::optional<ServerNotice> read_notice(const net::HttpResponse& response) const = 0;
     /// The header line of the request that a server echoes in every answer.
--- a/tests/integration/path_test.cpp
+++ b/tests/integration/path_test.cpp
@@ -22,7 +22,8 @@
         client.exchange(request, {TimePoint::clock::now() + seconds(5), nullptr}, progress, error);
     if (response) {
         // The rest is read while the client is there.
-        response->body.prefix = net::read_whole(response->body, net::kLargestFetchedText, error).value_or("");
+        response->body.prefix =
+            net::read_whole(response->body, net::kMaxFetchedTextBytes, error).value_or("");
         response->body.rest.reset();
     }
     return response;
--- a/tests/support/sidecar_fleet.cpp
+++ b/tests/support/sidecar_fleet.cpp
@@ -225,7 +225,7 @@
     if (response) {
         answer.status = response->status;
         answer.fields = response->fields;
-        answer.body = net::read_whole(response->body, net::kLargestFetchedText, error).value_or("");
+        answer.body = net::read_whole(response->body, net::kMaxFetchedTextBytes, error).value_or("");
     }
     std::ofstream(folder_ + "/clients.log", std::ios::app)
         << logging::utcText(std::chrono::system_clock::now()) << " " << machines_.at(machine)->name << " "
--- a/tests/unit/platform/dialect_test.cpp
+++ b/tests/unit/platform/dialect_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace anisehold;
 using namespace anisehold::platform;
-using sidecar::AnswerNature;
+using sidecar::ResponseClass;
 
 namespace {
 
@@ -39,22 +39,22 @@
 }
 
 TEST_CASE("only a whole answer of a server is passed on") {
-    CHECK(Dialect().nature_of(answer(200, true)) == AnswerNature::kGenuine);
-    CHECK(Dialect().nature_of(answer(500, true)) == AnswerNature::kGenuine);
-    CHECK(Dialect().nature_of(answer(200, false)) == AnswerNature::kSpoiled);
+    CHECK(Dialect().classify_response(answer(200, true)) == ResponseClass::kGenuine);
+    CHECK(Dialect().classify_response(answer(500, true)) == ResponseClass::kGenuine);
+    CHECK(Dialect().classify_response(answer(200, false)) == ResponseClass::kUntrusted);
     auto encoded = answer(200, true);
     encoded.fields.set("Content-Encoding", "gzip");
-    CHECK(Dialect().nature_of(encoded) == AnswerNature::kSpoiled);
+    CHECK(Dialect().classify_response(encoded) == ResponseClass::kUntrusted);
 }
 
 TEST_CASE("only the server's own word says that it ran nothing") {
     auto declared = answer(503, false);
     declared.fields.set("Not-Executed", "1");
-    CHECK(Dialect().nature_of(declared) == AnswerNature::kNotRun);
-    CHECK(Dialect().nature_of(answer(421, false)) == AnswerNature::kNotRun);
+    CHECK(Dialect().classify_response(declared) == ResponseClass::kNotRun);
+    CHECK(Dialect().classify_response(answer(421, false)) == ResponseClass::kNotRun);
     // Passed on, each of these would promise the client that the request has not run.
     for (const unsigned status : {408U, 429U, 503U}) {
-        CHECK(Dialect().nature_of(answer(status, true)) == AnswerNature::kSpoiled);
+        CHECK(Dialect().classify_response(answer(status, true)) == ResponseClass::kUntrusted);
     }
 }
 
--- a/tests/unit/wire/platform_calls_test.cpp
+++ b/tests/unit/wire/platform_calls_test.cpp
@@ -56,13 +56,13 @@
            (credentials.isMalformed ? ", malformed" : "") + "\n";
 }
 
-std::string_view nature_name(sidecar::AnswerNature nature) {
+std::string_view class_name(sidecar::ResponseClass nature) {
     switch (nature) {
-        case sidecar::AnswerNature::kGenuine:
+        case sidecar::ResponseClass::kGenuine:
             return "genuine";
-        case sidecar::AnswerNature::kNotRun:
+        case sidecar::ResponseClass::kNotRun:
             return "not run";
-        case sidecar::AnswerNature::kSpoiled:
+        case sidecar::ResponseClass::kUntrusted:
             return "spoiled";
     }
     return "unknown";
@@ -75,7 +75,7 @@
         response.fields.add(name, "1");
         text += " " + name;
     }
-    return text + " -> " + std::string(nature_name(Dialect().nature_of(response))) + "\n";
+    return text + " -> " + std::string(class_name(Dialect().classify_response(response))) + "\n";
 }
 
 std::string health_text(unsigned status, const std::vector<net::HeaderField>& lines) {
