--- a/src/admission/server_gate.cpp
+++ b/src/admission/server_gate.cpp
@@ -39,7 +39,7 @@
     const Duration rate_wait = rate_.wait(now, position);
     const Duration wait = std::max(expected_wait(position), rate_wait);
     decision.retry_after = std::max<Duration>(
-        {expected_wait(queue_.size()), rate_.wait(now, queue_.size()), retry_after::kLeastAtGate});
+        {expected_wait(queue_.size()), rate_.wait(now, queue_.size()), retry_after::kMinAtGate});
     if (now + wait + time_to_run() > call.deadline || now + rate_wait > call.latest_start) {
         decision.verdict = GateVerdict::kRefused;
         return decision;
--- a/src/cli/table_commands.cpp
+++ b/src/cli/table_commands.cpp
@@ -198,7 +198,7 @@
                       << (result.rebased ? " (onto another operator's change)" : "") << "\n";
             print_changes(result.changes);
             return wait_ ? wait_until_in_force(result.revision) : kDone;
-        case AcceptOutcome::kNothingToDo:
+        case AcceptOutcome::kUnchanged:
             std::cout << "nothing to change\n";
             return kDone;
         case AcceptOutcome::kCollision:
--- a/src/daemon/holder_view_keeper.cpp
+++ b/src/daemon/holder_view_keeper.cpp
@@ -27,7 +27,7 @@
     switch (outcome) {
         case store::SwapOutcome::kDone:
             return "done";
-        case store::SwapOutcome::kLost:
+        case store::SwapOutcome::kConflict:
             return "lost";
         case store::SwapOutcome::kRefused:
             return "refused";
--- a/src/daemon/ingress.cpp
+++ b/src/daemon/ingress.cpp
@@ -218,7 +218,7 @@
 net::HttpResponse Ingress::error_response(const CallResult& result, const std::string& request_id) {
     const auto& answer = answer_for(result.error);
     net::Problem problem{result.error, request_id, "about:blank", result.execution, std::nullopt};
-    if (answer.come_back == ComeBack::kSoon) {
+    if (answer.retry_advice == RetryAdvice::kSoon) {
         // Jitter keeps callers that were refused together from coming back together.
         const auto base = std::max<Duration>(result.retry_after, milliseconds(1));
         const auto jittered = std::chrono::duration_cast<Duration>(
--- a/src/daemon/table_admin.cpp
+++ b/src/daemon/table_admin.cpp
@@ -78,7 +78,7 @@
     switch (outcome) {
         case store::AcceptOutcome::kAccepted:
             return "accepted";
-        case store::AcceptOutcome::kNothingToDo:
+        case store::AcceptOutcome::kUnchanged:
             return "nothing-to-do";
         case store::AcceptOutcome::kCollision:
             return "collision";
@@ -95,7 +95,7 @@
 unsigned http_status_of(store::AcceptOutcome outcome) {
     switch (outcome) {
         case store::AcceptOutcome::kAccepted:
-        case store::AcceptOutcome::kNothingToDo:
+        case store::AcceptOutcome::kUnchanged:
             return kOk;
         case store::AcceptOutcome::kCollision:
             return kConflict;
--- a/src/hop/hop_header.cpp
+++ b/src/hop/hop_header.cpp
@@ -100,7 +100,7 @@
     append(text, "caller", std::string_view(request.caller));
     append(text, "priority", request.priority);
     append(text, "remaining_ms", static_cast<std::uint64_t>(request.remaining.count()));
-    append(text, "longest_wait_ms", static_cast<std::uint64_t>(request.longest_wait.count()));
+    append(text, "longest_wait_ms", static_cast<std::uint64_t>(request.max_wait.count()));
     append(text, "once", request.at_most_once ? 1 : 0);
     append(text, "repeat_percent", request.retry_percent);
     append_unless_zero(text, "crashes", request.crashes);
@@ -145,7 +145,7 @@
         return std::nullopt;
     }
     request.remaining = milliseconds(remaining_ms);
-    request.longest_wait = milliseconds(longest_wait_ms);
+    request.max_wait = milliseconds(longest_wait_ms);
     request.at_most_once = once != 0;
     return request;
 }
--- a/src/hop/hop_header.hpp
+++ b/src/hop/hop_header.hpp
@@ -21,13 +21,13 @@
 /// What the gate must know of a request beyond the request itself. Texts may not hold ';' or the end of a
 /// line; a `row` that does is left out.
 struct HopRequest {
-    std::string instance;          ///< The server that is meant.
-    std::string caller;            ///< Service on the machine where the request began.
-    unsigned priority = 0;         ///< 0 is the most important.
-    milliseconds remaining{0};     ///< Time left until the request is given up.
-    milliseconds longest_wait{0};  ///< Longest time it may wait at the gate.
-    bool at_most_once = false;     ///< It must not run twice.
-    unsigned retry_percent = 0;    ///< How likely it is a retry, or made by a run that is one; 0 to 100.
+    std::string instance;        ///< The server that is meant.
+    std::string caller;          ///< Service on the machine where the request began.
+    unsigned priority = 0;       ///< 0 is the most important.
+    milliseconds remaining{0};   ///< Time left until the request is given up.
+    milliseconds max_wait{0};    ///< Longest time it may wait at the gate.
+    bool at_most_once = false;   ///< It must not run twice.
+    unsigned retry_percent = 0;  ///< How likely it is a retry, or made by a run that is one; 0 to 100.
     std::string row;  ///< The route and the request's rank; empty if it can't be written in a header line.
     unsigned crashes = 0;  ///< Servers in a row that are known to have crashed under it.
     /// The rate limit that the sender last heard of the server, for a gate that was restarted.
--- a/src/membership/peer_directory.cpp
+++ b/src/membership/peer_directory.cpp
@@ -40,7 +40,7 @@
 }  // namespace
 
 Duration PeerDirectory::silent_after(const Peer& peer) const {
-    const std::chrono::duration<double> period(is_near(peer) ? periods_.near : periods_.far);
+    const std::chrono::duration<double> period(is_near(peer) ? periods_.local : periods_.remote);
     return std::max<Duration>(times_.silent_after,
                               std::chrono::duration_cast<Duration>(kSilentPeriods * period));
 }
@@ -48,7 +48,7 @@
 PeerCounts PeerDirectory::counts() const {
     PeerCounts counts;
     for (const auto& [name, peer] : peers_) {
-        ++(is_near(peer) ? counts.near : counts.far);
+        ++(is_near(peer) ? counts.local : counts.remote);
     }
     return counts;
 }
@@ -58,7 +58,7 @@
 }
 
 bool PeerDirectory::reachable(TimePoint now, const Peer& peer) const {
-    return peer.was_heard && !peer.unreachable && now - peer.heard < silent_after(peer);
+    return peer.was_heard && !peer.unreachable && now - peer.last_seen < silent_after(peer);
 }
 
 bool PeerDirectory::takes_requests(TimePoint now, const Peer& peer) const {
@@ -79,7 +79,7 @@
     }
     take_servers(now, peer, record, change == PeerChange::kRefreshed);
     peer.record = std::move(record);
-    peer.heard = now;
+    peer.last_seen = now;
     peer.learned = now;
     peer.was_heard = true;
     peer.unreachable = false;
@@ -97,7 +97,7 @@
     if (!same_boot || !reachable(now, peer)) {
         return PeerChange::kAppeared;
     }
-    return has_same_servers(peer, record) ? PeerChange::kRefreshed : PeerChange::kServers;
+    return has_same_servers(peer, record) ? PeerChange::kRefreshed : PeerChange::kServersChanged;
 }
 
 void PeerDirectory::take_servers(TimePoint now, Peer& peer, PeerRecord& record, bool same_servers) const {
@@ -122,7 +122,7 @@
 
 bool PeerDirectory::has_same_servers(const Peer& peer, const PeerRecord& record) {
     const auto same_instance = [](const KnownServer& known, const ServerRecord& server) {
-        return known.server.instance == server.instance && known.server.born == server.born &&
+        return known.server.instance == server.instance && known.server.start_time == server.start_time &&
                known.server.service == server.service;
     };
     return peer.record.leaving == record.leaving &&
@@ -169,7 +169,7 @@
 void PeerDirectory::expire(TimePoint now) {
     const auto forgotten = std::erase_if(peers_, [&](const auto& entry) {
         const auto& peer = entry.second;
-        return now - (peer.was_heard ? peer.heard : peer.learned) > times_.forgotten_after;
+        return now - (peer.was_heard ? peer.last_seen : peer.learned) > times_.forgotten_after;
     });
     if (forgotten > 0) {
         views_.clear();
@@ -198,14 +198,14 @@
             if (known.server.service != service) {
                 continue;
             }
-            (known.zone == own_zone_ ? view.near : view.far).push_back(&known);
+            (known.zone == own_zone_ ? view.local : view.remote).push_back(&known);
             latencies += known.server.latency_us;
             measured += known.server.latency_us > 0 ? 1 : 0;
         }
     }
     view.mean_latency_us = measured > 0 ? latencies / measured : 0;
-    view.usual_near = bring_usual_to_front(view.near, kUsualNear);
-    view.usual_far = bring_usual_to_front(view.far, kUsualFar);
+    view.preferred_local = bring_usual_to_front(view.local, kUsualNear);
+    view.preferred_remote = bring_usual_to_front(view.remote, kUsualFar);
     return view;
 }
 
@@ -222,7 +222,7 @@
         peers_.begin(), peers_.end(), [&](const auto& entry) { return reachable(now, entry.second); }));
 }
 
-std::vector<PeerAddress> PeerDirectory::near_addresses() const {
+std::vector<PeerAddress> PeerDirectory::local_zone_addresses() const {
     std::vector<PeerAddress> addresses;
     for (const auto& [name, peer] : peers_) {
         if (is_near(peer)) {
@@ -232,7 +232,7 @@
     return addresses;
 }
 
-std::vector<PeerAddress> PeerDirectory::near_reachable(TimePoint now) const {
+std::vector<PeerAddress> PeerDirectory::reachable_in_local_zone(TimePoint now) const {
     std::vector<PeerAddress> addresses;
     for (const auto& [name, peer] : peers_) {
         if (is_near(peer) && takes_requests(now, peer)) {
@@ -246,7 +246,7 @@
     if (!peer.was_heard) {
         return now - peer.learned < kUnheardMember;
     }
-    return !peer.record.leaving && now - peer.heard < silent_after(peer) + kSilentMember;
+    return !peer.record.leaving && now - peer.last_seen < silent_after(peer) + kSilentMember;
 }
 
 std::vector<FleetMember> PeerDirectory::members(TimePoint now) const {
@@ -256,13 +256,13 @@
         if (!is_member(now, peer)) {
             continue;
         }
-        members.push_back({name, peer.record.gossip, peer.heard, takes_requests(now, peer),
+        members.push_back({name, peer.record.gossip, peer.last_seen, takes_requests(now, peer),
                            peer.record.watches_store, is_near(peer)});
     }
     return members;
 }
 
-bool PeerDirectory::any_near_watches(TimePoint now) const {
+bool PeerDirectory::any_watch_in_local_zone(TimePoint now) const {
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
         const auto& peer = entry.second;
         return peer.record.watches_store && is_near(peer) && reachable(now, peer);
--- a/src/membership/peer_directory.hpp
+++ b/src/membership/peer_directory.hpp
@@ -27,7 +27,7 @@
     std::string zone;
     Endpoint call;
     std::uint64_t boot_id = 0;
-    TimePoint heard;  ///< When its daemon's record came.
+    TimePoint last_seen;  ///< When its daemon's record came.
     std::uint64_t affinity =
         0;  ///< Rank of the server for this daemon: the same at every look, random among daemons.
 };
@@ -38,22 +38,22 @@
 /// The usual servers come first: a few of each list, by affinity, so that connections to them stay warm and
 /// their number doesn't grow with the fleet.
 struct ServiceView {
-    std::vector<const KnownServer*> near;  ///< In the own zone.
-    std::vector<const KnownServer*> far;   ///< In the others.
-    std::size_t usual_near = 0;            ///< How many of `near` are usual.
-    std::size_t usual_far = 0;             ///< The same of `far`.
-    const KnownServer* own = nullptr;      ///< The one beside this daemon; also in `near`.
-    double mean_latency_us = 0;            ///< Of those that were measured; 0 if none was.
-
-    bool empty() const { return near.empty() && far.empty(); }
+    std::vector<const KnownServer*> local;   ///< In the own zone.
+    std::vector<const KnownServer*> remote;  ///< In the others.
+    std::size_t preferred_local = 0;         ///< How many of `local` are usual.
+    std::size_t preferred_remote = 0;        ///< The same of `remote`.
+    const KnownServer* own = nullptr;        ///< The one beside this daemon; also in `local`.
+    double mean_latency_us = 0;              ///< Of those that were measured; 0 if none was.
+
+    bool empty() const { return local.empty() && remote.empty(); }
 };
 
 /// What a record changed.
 enum class PeerChange {
-    kNone,       ///< Late, or received before.
-    kRefreshed,  ///< Only load or sequence.
-    kAppeared,   ///< A new peer, a new boot, or one heard again after silence.
-    kServers,    ///< Its servers or its leaving changed.
+    kNone,            ///< Late, or received before.
+    kRefreshed,       ///< Only load or sequence.
+    kAppeared,        ///< A new peer, a new boot, or one heard again after silence.
+    kServersChanged,  ///< Its servers or its leaving changed.
 };
 
 /// Address of a peer that may not have been heard yet.
@@ -66,10 +66,10 @@
 struct FleetMember {
     std::string name;
     Endpoint gossip;
-    TimePoint heard;
+    TimePoint last_seen;
     bool takes_requests = false;  ///< Reachable, and not leaving.
     bool watches_store = false;
-    bool near = false;  ///< Of the own zone.
+    bool local = false;  ///< Of the own zone.
 };
 
 /// Keeps the latest record of each peer. Pure.
@@ -107,26 +107,26 @@
     /// Where records go: all known peers, silent ones too, so that one that restarts is found.
     std::vector<PeerAddress> addresses() const;
     /// The same for the peers of the own zone alone.
-    std::vector<PeerAddress> near_addresses() const;
+    std::vector<PeerAddress> local_zone_addresses() const;
     PeerCounts counts() const;
     /// Peers heard lately.
     std::size_t reachable_count(TimePoint now) const;
     std::size_t known_count() const { return peers_.size(); }
     bool knows(const std::string& name) const { return peers_.contains(name); }
     /// The reachable peers of the own zone that aren't leaving.
-    std::vector<PeerAddress> near_reachable(TimePoint now) const;
+    std::vector<PeerAddress> reachable_in_local_zone(TimePoint now) const;
     /// Peers that haven't left, by name, reachable or not; one that is silent for long isn't counted any
     /// more.
     std::vector<FleetMember> members(TimePoint now) const;
     /// Whether a reachable peer of the own zone has a working watch of the store. Those of other zones aren't
     /// counted: their silence is noticed late.
-    bool any_near_watches(TimePoint now) const;
+    bool any_watch_in_local_zone(TimePoint now) const;
 
   private:
     struct Peer {
         PeerRecord record;  ///< Without its servers, which are kept as they are handed out.
         std::vector<KnownServer> servers;
-        TimePoint heard;
+        TimePoint last_seen;
         TimePoint learned;
         bool was_heard = false;
         bool unreachable = false;
--- a/src/membership/peer_record.hpp
+++ b/src/membership/peer_record.hpp
@@ -19,7 +19,8 @@
 struct ServerRecord {
     std::string instance;  ///< A server that ended may come back under the same one.
     std::string service;
-    std::uint64_t born = 0;   ///< Tells its starts apart: the later one has the greater number; 0: unknown.
+    std::uint64_t start_time =
+        0;                    ///< Tells its starts apart: the later one has the greater number; 0: unknown.
     unsigned slots = 0;       ///< Requests that it works on at the same time.
     unsigned in_flight = 0;   ///< Requests that the gate has running there.
     unsigned queued = 0;      ///< Requests waiting at the gate.
@@ -33,8 +34,8 @@
 
     template <typename Archive>
     void serialize(Archive& archive, unsigned /*version*/) {
-        serialize_all(archive, instance, service, born, slots, in_flight, queued, limit, latency_us, cold_ms,
-                      failed_percent, busy_percent);
+        serialize_all(archive, instance, service, start_time, slots, in_flight, queued, limit, latency_us,
+                      cold_ms, failed_percent, busy_percent);
     }
 };
 
--- a/src/membership/record_periods.cpp
+++ b/src/membership/record_periods.cpp
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-Duration least_announcement_gap(const PeerCounts& peers) {
-    const auto count = peers.near + peers.far;
+Duration min_announcement_gap(const PeerCounts& peers) {
+    const auto count = peers.local + peers.remote;
     const double beyond = static_cast<double>(count) - kPeersAtMostRecords;
     return time_at_rate(
         count, std::clamp(kMostUnderPressure - beyond, kMostUnderPressureInLargeFleet, kMostUnderPressure));
@@ -38,11 +38,11 @@
 
 RecordPeriods record_periods(const PeerCounts& peers, bool under_pressure) {
     if (under_pressure) {
-        const auto period = std::max<Duration>(kPressurePeriod, least_announcement_gap(peers));
+        const auto period = std::max<Duration>(kPressurePeriod, min_announcement_gap(peers));
         return {period, period};
     }
-    const auto near = std::max<Duration>(kCalmPeriod, time_at_rate(peers.near, kMostNearPerSecond));
-    return {near, std::max(near, time_at_rate(peers.far, kMostFarPerSecond))};
+    const auto local = std::max<Duration>(kCalmPeriod, time_at_rate(peers.local, kMostNearPerSecond));
+    return {local, std::max(local, time_at_rate(peers.remote, kMostFarPerSecond))};
 }
 
 }  // namespace anisehold::membership
--- a/src/membership/record_periods.hpp
+++ b/src/membership/record_periods.hpp
@@ -11,14 +11,14 @@
 
 /// Peers that are sent records, by where they are.
 struct PeerCounts {
-    std::size_t near = 0;  ///< Of the own zone.
-    std::size_t far = 0;   ///< Of other zones, or not heard yet.
+    std::size_t local = 0;   ///< Of the own zone.
+    std::size_t remote = 0;  ///< Of other zones, or not heard yet.
 };
 
 /// How often a daemon sends its peers its record.
 struct RecordPeriods {
-    Duration near{};  ///< Peers of the own zone, which are sent most requests.
-    Duration far{};   ///< The others.
+    Duration local{};   ///< Peers of the own zone, which are sent most requests.
+    Duration remote{};  ///< The others.
 };
 
 /// Once a second to each, and more slowly in a large fleet, so that no daemon sends more than forty records a
@@ -27,6 +27,6 @@
 RecordPeriods record_periods(const PeerCounts& peers, bool under_pressure = false);
 
 /// Least time between two announcements to all peers: as many records a second as under pressure.
-Duration least_announcement_gap(const PeerCounts& peers);
+Duration min_announcement_gap(const PeerCounts& peers);
 
 }  // namespace anisehold::membership
--- a/src/membership/server_notices.cpp
+++ b/src/membership/server_notices.cpp
@@ -12,7 +12,7 @@
 
 void ServerNotices::on_rate(TimePoint now, const ServerRecord& server, std::optional<RequestRate> rate) {
     if (rate) {
-        rates_[server.instance] = {{server.born, now}, *rate};
+        rates_[server.instance] = {{server.start_time, now}, *rate};
     } else {
         rates_.erase(server.instance);
     }
@@ -23,14 +23,14 @@
     if (found == rates_.end()) {
         return std::nullopt;
     }
-    const auto born = found->second.start.born;
-    const bool is_same = born == 0 || server.born == 0 || born == server.born;
+    const auto start_time = found->second.start.start_time;
+    const bool is_same = start_time == 0 || server.start_time == 0 || start_time == server.start_time;
     return is_same ? std::optional(found->second.rate) : std::nullopt;
 }
 
 void ServerNotices::on_leaving(TimePoint now, const ServerRecord& server) {
     auto& start = leaving_[server.instance];
-    start = {std::max(start.born, server.born), now};
+    start = {std::max(start.start_time, server.start_time), now};
 }
 
 bool ServerNotices::is_leaving(const ServerRecord& server) {
@@ -38,14 +38,15 @@
     if (found == leaving_.end()) {
         return false;
     }
-    auto& born = found->second.born;
-    born = born == 0 ? server.born : born;
-    return server.born <= born;
+    auto& start_time = found->second.start_time;
+    start_time = start_time == 0 ? server.start_time : start_time;
+    return server.start_time <= start_time;
 }
 
 void ServerNotices::expire(TimePoint now) {
-    std::erase_if(rates_, [&](const auto& entry) { return now - entry.second.start.heard > kRemembered; });
-    std::erase_if(leaving_, [&](const auto& entry) { return now - entry.second.heard > kRemembered; });
+    std::erase_if(rates_,
+                  [&](const auto& entry) { return now - entry.second.start.last_seen > kRemembered; });
+    std::erase_if(leaving_, [&](const auto& entry) { return now - entry.second.last_seen > kRemembered; });
 }
 
 }  // namespace anisehold::membership
--- a/src/membership/server_notices.hpp
+++ b/src/membership/server_notices.hpp
@@ -36,8 +36,8 @@
   private:
     /// A start of a server, and when it said something.
     struct Start {
-        std::uint64_t born = 0;  ///< 0: unknown.
-        TimePoint heard;
+        std::uint64_t start_time = 0;  ///< 0: unknown.
+        TimePoint last_seen;
     };
     struct NamedRate {
         Start start;
--- a/src/observability/suspension.hpp
+++ b/src/observability/suspension.hpp
@@ -20,7 +20,7 @@
 
 /// How long the machine was suspended since the last check; nothing if it wasn't. `steady`: the time since
 /// the epoch on the clock that stands still meanwhile. Pure.
-inline std::optional<Duration> take_suspension(SuspensionWatch& watch, TimePoint now, Duration steady) {
+inline std::optional<Duration> detect_suspension(SuspensionWatch& watch, TimePoint now, Duration steady) {
     const auto ahead = now.time_since_epoch() - steady;
     const auto gap = ahead - watch.ahead.value_or(ahead);
     watch.ahead = ahead;
--- a/src/protocol/error_kind.cpp
+++ b/src/protocol/error_kind.cpp
@@ -9,7 +9,7 @@
 
 using enum ErrorKind;
 using enum Execution;
-using enum ComeBack;
+using enum RetryAdvice;
 
 constexpr std::array kAnswers{
     ErrorAnswer{kBadRequest, "bad-request", 400, kNotRun, kNever, 2001, "The request is malformed"},
--- a/src/protocol/error_kind.hpp
+++ b/src/protocol/error_kind.hpp
@@ -54,7 +54,7 @@
 };
 
 /// When a caller that was given this kind should come back.
-enum class ComeBack {
+enum class RetryAdvice {
     kNever,  ///< Sending the same request again can't help.
     kSoon,   ///< After a pause: `Retry-After` is sent.
 };
@@ -65,7 +65,7 @@
     std::string_view name;  ///< Stable lower-case name, sent as the `kind` member and in `Anisehold-Error`.
     unsigned http_status;
     Execution execution;
-    ComeBack come_back;
+    RetryAdvice retry_advice;
     unsigned event_number;  ///< Number of the log event in docs/EVENTS.md.
     std::string_view title;
 };
--- a/src/protocol/retry_after.hpp
+++ b/src/protocol/retry_after.hpp
@@ -14,7 +14,7 @@
 
 /// Least for a call that the gate refuses, or that leaves its queue unserved. Otherwise it gets the time in
 /// which the queue as it stands is expected to be worked off.
-inline constexpr milliseconds kLeastAtGate{50};
+inline constexpr milliseconds kMinAtGate{50};
 
 // `anisehold sidecar`. Only errors of requests that surely didn't run carry Retry-After.
 
@@ -36,8 +36,8 @@
 /// A request beyond its tenant's quota gets the time until it would have its turn behind all that were
 /// refused before, plus a random part of kQuotaSpread of that; at least and at most this. The least is also
 /// the longest time for which an owner without tokens isn't asked again.
-inline constexpr milliseconds kLeastQuotaExceeded{50};
-inline constexpr milliseconds kMostQuotaExceeded{5'000};  ///< Before the spread: by then demand is another.
+inline constexpr milliseconds kMinQuotaExceeded{50};
+inline constexpr milliseconds kMaxQuotaExceeded{5'000};  ///< Before the spread: by then demand is another.
 inline constexpr double kQuotaSpread = 0.25;
 
 // `anisehold serve`. The ingress lengthens each by a random part of kServeSpread, so that callers that were
--- a/src/registration/server_registry.cpp
+++ b/src/registration/server_registry.cpp
@@ -21,11 +21,11 @@
         return false;
     }
     auto& left = found->second;
-    if (left.born < heartbeat.born) {
+    if (left.start_time < heartbeat.start_time) {
         return true;
     }
     const bool goes_on =
-        left.was_displaced && left.born == heartbeat.born && left.sequence < heartbeat.sequence;
+        left.was_displaced && left.start_time == heartbeat.start_time && left.sequence < heartbeat.sequence;
     left.heartbeats_since += goes_on ? 1 : 0;
     left.sequence = std::max(left.sequence, heartbeat.sequence);
     return goes_on && left.heartbeats_since >= kHeartbeatsOfLiving;
@@ -37,7 +37,7 @@
     for (auto each = servers_.begin(); each != servers_.end();) {
         if (each->second.heartbeat.address == heartbeat.address && each->first != heartbeat.instance) {
             const auto& displaced = each->second.heartbeat;
-            left_[each->first] = {now, displaced.born, true, displaced.sequence, 0};
+            left_[each->first] = {now, displaced.start_time, true, displaced.sequence, 0};
             each = servers_.erase(each);
         } else {
             ++each;
@@ -56,9 +56,10 @@
         return register_start(now, heartbeat);
     }
     const Heartbeat before = found->second.heartbeat;
-    const bool gives_start = heartbeat.born != ServerStart() && before.born != ServerStart();
-    if (gives_start && before.born != heartbeat.born) {
-        return before.born < heartbeat.born ? register_start(now, heartbeat) : RegistryChange::kNone;
+    const bool gives_start = heartbeat.start_time != ServerStart() && before.start_time != ServerStart();
+    if (gives_start && before.start_time != heartbeat.start_time) {
+        return before.start_time < heartbeat.start_time ? register_start(now, heartbeat)
+                                                        : RegistryChange::kNone;
     }
     const bool is_late = heartbeat.sequence <= before.sequence;
     // A start serves one service: an entry that says otherwise is another writer's.
@@ -96,13 +97,13 @@
     return RegistryChange::kDraining;
 }
 
-RegistryChange ServerRegistry::on_leave(TimePoint now, const std::string& instance, ServerStart born) {
+RegistryChange ServerRegistry::on_leave(TimePoint now, const std::string& instance, ServerStart start_time) {
     const auto found = servers_.find(instance);
-    const auto known = found == servers_.end() ? ServerStart() : found->second.heartbeat.born;
-    if (born != ServerStart() && born < known) {
+    const auto known = found == servers_.end() ? ServerStart() : found->second.heartbeat.start_time;
+    if (start_time != ServerStart() && start_time < known) {
         return RegistryChange::kNone;
     }
-    left_[instance] = {now, born == ServerStart() ? known : born, false, 0, 0};
+    left_[instance] = {now, start_time == ServerStart() ? known : start_time, false, 0, 0};
     return servers_.erase(instance) > 0 ? RegistryChange::kLeft : RegistryChange::kNone;
 }
 
@@ -120,7 +121,7 @@
         silent.push_back(entry.first);
         // Its later heartbeats may say that it is ready.
         if (is_draining) {
-            left_[entry.first] = {now, server.heartbeat.born, false, server.heartbeat.sequence, 0};
+            left_[entry.first] = {now, server.heartbeat.start_time, false, server.heartbeat.sequence, 0};
         }
         return true;
     });
--- a/src/registration/server_registry.hpp
+++ b/src/registration/server_registry.hpp
@@ -22,7 +22,7 @@
 /// What a server sends of itself in each heartbeat.
 struct Heartbeat {
     std::string instance;  ///< A server that ended may come back under the same one.
-    ServerStart born;
+    ServerStart start_time;
     std::string service;
     Endpoint address;
     std::string zone;
@@ -60,8 +60,8 @@
     RegistryChange on_probed(TimePoint now, const Heartbeat& found);
     /// The server says in its answers that it ends soon, whatever its heartbeats say. Final, as draining is.
     RegistryChange on_leaving_answer(const std::string& instance);
-    /// `born`: of the start that leaves; 0 means the one that is known.
-    RegistryChange on_leave(TimePoint now, const std::string& instance, ServerStart born = {});
+    /// `start_time`: of the start that leaves; 0 means the one that is known.
+    RegistryChange on_leave(TimePoint now, const std::string& instance, ServerStart start_time = {});
     /// The server has crashed: nothing is known of it until it registers again. False if nothing was.
     bool on_crash(const std::string& instance) { return servers_.erase(instance) > 0; }
     /// Forgets servers that fell silent for `silence`, found ones without a heartbeat after `probed_silence`,
@@ -79,7 +79,7 @@
     /// A start of a server that has left.
     struct LeftServer {
         TimePoint at;
-        ServerStart born;
+        ServerStart start_time;
         /// Set if it never said so itself, but another one came to its address.
         bool was_displaced = false;
         std::uint64_t sequence = 0;     ///< Of its latest heartbeat, if it was displaced.
--- a/src/selection/return_trial.cpp
+++ b/src/selection/return_trial.cpp
@@ -36,8 +36,8 @@
         if (now < due)
             continue;
 
-        const auto* near = findIn (view.near, instance);
-        const auto* server = near != nullptr ? near : findIn (view.far, instance);
+        const auto* local = findIn (view.local, instance);
+        const auto* server = local != nullptr ? local : findIn (view.remote, instance);
 
         if (server == nullptr)
             continue;
--- a/src/selection/server_selection.cpp
+++ b/src/selection/server_selection.cpp
@@ -104,8 +104,8 @@
     if (view.own != nullptr)
         drawn.push_back (view.own);
 
-    drawSome (view.near, view.usual_near, random, drawn);
-    drawSome (view.far, view.usual_far, random, drawn);
+    drawSome (view.local, view.preferred_local, random, drawn);
+    drawSome (view.remote, view.preferred_remote, random, drawn);
     return drawn;
 }
 
@@ -116,15 +116,15 @@
 
     if (tried.empty())
     {
-        drawSome (view.near, view.near.size(), random, drawn);
-        drawSome (view.far, view.far.size(), random, drawn);
+        drawSome (view.local, view.local.size(), random, drawn);
+        drawSome (view.remote, view.remote.size(), random, drawn);
         return drawn;
     }
 
-    const auto near = untried (view.near, tried);
-    const auto far = untried (view.far, tried);
-    drawSome (near, near.size(), random, drawn);
-    drawSome (far, far.size(), random, drawn);
+    const auto local = untried (view.local, tried);
+    const auto remote = untried (view.remote, tried);
+    drawSome (local, local.size(), random, drawn);
+    drawSome (remote, remote.size(), random, drawn);
     return drawn;
 }
 
@@ -141,7 +141,7 @@
 bool needsAlternatives (const SelectionState& state, TimePoint now, const ServiceView& view,
                         const KnownServer& known)
 {
-    if (known.zone != state.ownZone && view.near.size() > view.usual_near)
+    if (known.zone != state.ownZone && view.local.size() > view.preferred_local)
         return true;
 
     return fillOf (state, known.server) >= fullShare ||
@@ -185,7 +185,7 @@
     if (state.rules.prefersOwnZone && known.zone != state.ownZone)
         cost *= remoteZoneFactor;
 
-    if (state.rules.avoidsCold && milliseconds (server.cold_ms) > now - known.heard)
+    if (state.rules.avoidsCold && milliseconds (server.cold_ms) > now - known.last_seen)
         cost *= coldFactor;
 
     return cost;
@@ -202,7 +202,7 @@
     const double meanUs = failureScaleUs (view);
     const double chosenCost = expectedCost (state, now, chosen, meanUs);
 
-    for (const auto* list : { &view.near, &view.far })
+    for (const auto* list : { &view.local, &view.remote })
     {
         for (const auto* it : *list)
         {
--- a/src/sidecar/call_attempts.cpp
+++ b/src/sidecar/call_attempts.cpp
@@ -186,7 +186,7 @@
     hop_call.caller = context_.settings.service;
     hop_call.priority = call.terms.priority;
     hop_call.remaining = milliseconds(std::max(1LL, to_milliseconds(call.deadline - attempt.started)));
-    hop_call.longest_wait =
+    hop_call.max_wait =
         std::max(kLeastWait, milliseconds(to_milliseconds(wait_ends(call) - attempt.started)));
     hop_call.retry_percent = static_cast<unsigned>(std::lround(retry * kPercent));
     hop_call.at_most_once = !may_retry(call.terms.retry);
@@ -245,7 +245,7 @@
     call.attempts +=
         (call.attempts.empty() ? "" : " ") + text_of(attempt->server.server.instance, attempt->answer,
                                                      TimePoint::clock::now() - attempt->started,
-                                                     attempt->started - attempt->server.heard);
+                                                     attempt->started - attempt->server.last_seen);
 }
 
 void CallAttempts::cancel_attempts(IncomingCall& call, Flight& flight) {
--- a/src/sidecar/call_ingress.cpp
+++ b/src/sidecar/call_ingress.cpp
@@ -177,7 +177,7 @@
         const auto echo = context_.dialect.echoed_field(request_id);
         response.fields.set(echo.name, echo.value);
     }
-    if (kind.come_back == ComeBack::kSoon && kind.execution == Execution::kNotRun) {
+    if (kind.retry_advice == RetryAdvice::kSoon && kind.execution == Execution::kNotRun) {
         const auto wait =
             failure.retry_after > milliseconds(0) ? failure.retry_after : retry_after::kSidecarDefault;
         context_.dialect.write_retry_after(response, wait);
--- a/src/sidecar/configuration_watch.cpp
+++ b/src/sidecar/configuration_watch.cpp
@@ -72,11 +72,11 @@
     const auto now = TimePoint::clock::now();
     discovery::WatchView view;
     view.ownName = context_.settings.name;
-    for (auto& peer : directory_.near_reachable(now)) {
+    for (auto& peer : directory_.reachable_in_local_zone(now)) {
         view.zonePeers.push_back(std::move(peer.name));
     }
     view.knownPeers = directory_.known_count();
-    view.hasPeerWatch = directory_.any_near_watches(now);
+    view.hasPeerWatch = directory_.any_watch_in_local_zone(now);
     const auto before = state_.role;
     const auto role = discovery::updateRole(state_, now, view, [this] { return context_.random_unit(); });
     context_.store.on_role(role);
--- a/src/sidecar/gate_server.cpp
+++ b/src/sidecar/gate_server.cpp
@@ -61,7 +61,7 @@
     gate_call.priority = run.call.priority;
     gate_call.root_started = now;
     gate_call.deadline = run.deadline;
-    gate_call.latest_start = now + run.call.longest_wait;
+    gate_call.latest_start = now + run.call.max_wait;
     const auto decision = server.gate.arrive(now, gate_call);
     if (decision.evicted) {
         wake(server, *decision.evicted, false);
@@ -78,7 +78,7 @@
     {
         const net::CancelSubscription subscription(run.cancel, [waiter] { waiter->decided.set(); });
         if (!run.is_cancelled()) {
-            waiter->decided.wait_until(std::min<TimePoint>(decision.give_up_at, now + run.call.longest_wait));
+            waiter->decided.wait_until(std::min<TimePoint>(decision.give_up_at, now + run.call.max_wait));
         }
     }
     server.waiters.erase(run.id);
--- a/src/sidecar/gate_servers.cpp
+++ b/src/sidecar/gate_servers.cpp
@@ -29,7 +29,7 @@
 
 RegistryChange GateServers::on_registration(TimePoint now, const RegistrationCall& call) {
     const auto& heartbeat = call.heartbeat;
-    const auto change = call.leaves ? registry_.on_leave(now, heartbeat.instance, heartbeat.born)
+    const auto change = call.leaves ? registry_.on_leave(now, heartbeat.instance, heartbeat.start_time)
                                     : registry_.on_heartbeat(now, heartbeat);
     if (change == RegistryChange::kAppeared) {
         // Nothing that was learned of an earlier start holds for this one.
@@ -44,7 +44,7 @@
                                                  {"service", heartbeat.service},
                                                  {"address", heartbeat.address.text()},
                                                  {"slots", std::to_string(heartbeat.slots)},
-                                                 {"born", std::to_string(heartbeat.born.value)},
+                                                 {"born", std::to_string(heartbeat.start_time.value)},
                                                  {"sequence", std::to_string(heartbeat.sequence)}});
             break;
         case RegistryChange::kDraining:
@@ -112,7 +112,7 @@
         membership::ServerRecord record;
         record.instance = heartbeat.instance;
         record.service = heartbeat.service;
-        record.born = heartbeat.born.value;
+        record.start_time = heartbeat.start_time.value;
         record.slots = heartbeat.slots;
         record.limit = heartbeat.slots;
         record.cold_ms = static_cast<unsigned>(std::max(0LL, to_milliseconds(registered.cold_until - now)));
--- a/src/sidecar/local_gate.cpp
+++ b/src/sidecar/local_gate.cpp
@@ -71,7 +71,7 @@
 
 std::optional<SuspectQueue::Turn> LocalGate::take_turn(GateServer& server, const GateRun& run) const {
     // It has run once, so that waiting longer for a turn than others for a slot is worth it.
-    const auto latest = run.arrived + std::max(run.call.longest_wait, run.call.remaining / 2);
+    const auto latest = run.arrived + std::max(run.call.max_wait, run.call.remaining / 2);
     const auto known = [&] {
         const auto now = TimePoint::clock::now();
         return crashes_.is_condemned(now, run.identity) ? 0 : crashes_.crashes_of(now, run.identity);
--- a/src/sidecar/peer_exchange.cpp
+++ b/src/sidecar/peer_exchange.cpp
@@ -101,9 +101,9 @@
     while (true) {
         const auto periods =
             membership::record_periods(directory_.counts(), context_.overload.is_under_pressure());
-        context_.overload.set_period(periods.near);
+        context_.overload.set_period(periods.local);
         const auto period =
-            std::chrono::duration_cast<Duration>(periods.near * (0.9 + 0.2 * context_.random_unit()));
+            std::chrono::duration_cast<Duration>(periods.local * (0.9 + 0.2 * context_.random_unit()));
         const bool is_onset = context_.overload.wait_for_onset(TimePoint::clock::now() + period);
         if (is_onset) {
             boost::this_fiber::sleep_for(kOnsetCount);
@@ -116,10 +116,10 @@
         context_.notices.expire(now);
         end_limit_period(now);
         // Half a near period early rather than half late.
-        if (now - announced_ + periods.near / 2 >= periods.far) {
+        if (now - announced_ + periods.local / 2 >= periods.remote) {
             announce();
         } else {
-            send_record_to(directory_.near_addresses());
+            send_record_to(directory_.local_zone_addresses());
         }
     }
 }
@@ -130,7 +130,7 @@
         std::any_of(reports.begin(), reports.end(), [](const auto& each) { return each.recentRefused > 0; });
     // Those that only heard of it have nothing to report, and in a large fleet all would report to all.
     if (refused_here &&
-        TimePoint::clock::now() - announced_ >= membership::least_announcement_gap(directory_.counts())) {
+        TimePoint::clock::now() - announced_ >= membership::min_announcement_gap(directory_.counts())) {
         announce();
     }
 }
@@ -184,7 +184,7 @@
     if (change == PeerChange::kAppeared && appearance_listener_) {
         appearance_listener_(record->gossip);
     }
-    if (change == PeerChange::kAppeared || change == PeerChange::kServers) {
+    if (change == PeerChange::kAppeared || change == PeerChange::kServersChanged) {
         log_event(Event::kPeerChanged,
                   {{"peer", record->name},
                    {"boot", std::to_string(record->boot_id)},
--- a/src/sidecar/proof_keeper.cpp
+++ b/src/sidecar/proof_keeper.cpp
@@ -144,10 +144,10 @@
     const bool is_old = age_or_longest(now) >= kOldProof;
     std::vector<const membership::FleetMember*> candidates;
     // With an old proof any peer will do: the watchers that this daemon knows of may have none.
-    for (const bool near : {true, false}) {
+    for (const bool local : {true, false}) {
         for (const auto& member : members) {
             const bool may_know = member.watches_store || is_old;
-            if (member.near == near && member.takes_requests && may_know) {
+            if (member.local == local && member.takes_requests && may_know) {
                 candidates.push_back(&member);
             }
         }
--- a/src/sidecar/quota_exchange.cpp
+++ b/src/sidecar/quota_exchange.cpp
@@ -37,7 +37,7 @@
 /// An owner that had no token isn't asked for this time at least and at most: at 71 daemons it is then asked
 /// some 1,400 times a second for the busiest tenant, worked out.
 constexpr milliseconds kLeastRefusal{5};
-constexpr milliseconds kMostRefusal = retry_after::kLeastQuotaExceeded;
+constexpr milliseconds kMostRefusal = retry_after::kMinQuotaExceeded;
 /// Part of the rate that a daemon grants for a tenant whose owner is another one by its own view: as much as
 /// operators let a quota be exceeded. So a wrong view of some daemons doesn't double a quota.
 constexpr double kSecondOwnerPart = 0.1;
@@ -98,7 +98,7 @@
 Duration QuotaExchange::refusal_pause(TimePoint now, const tenancy::TokenCache& cache) {
     const std::chrono::duration<double> pause = cache.retryAt - now;
     const auto spread = pause * (1.0 + retry_after::kQuotaSpread * context_.random_unit());
-    return std::max<Duration>(std::chrono::duration_cast<Duration>(spread), retry_after::kLeastQuotaExceeded);
+    return std::max<Duration>(std::chrono::duration_cast<Duration>(spread), retry_after::kMinQuotaExceeded);
 }
 
 void QuotaExchange::begin_round(const TenantTerms& tenant, Account& account) {
@@ -257,7 +257,8 @@
 
 bool QuotaExchange::is_suspected(TimePoint now, const membership::FleetMember& member) const {
     const auto found = suspected_.find(member.name);
-    return found != suspected_.end() && (now - found->second < kSuspicion || member.heard < found->second);
+    return found != suspected_.end() &&
+           (now - found->second < kSuspicion || member.last_seen < found->second);
 }
 
 const QuotaExchange::FleetView& QuotaExchange::fleet(TimePoint now) {
--- a/src/sidecar/server_chooser.cpp
+++ b/src/sidecar/server_chooser.cpp
@@ -113,8 +113,8 @@
         usual -= static_cast<std::size_t>(std::count_if(servers.begin(), usual_end, leaves));
         std::erase_if(servers, leaves);
     };
-    drop(view.near, view.usual_near);
-    drop(view.far, view.usual_far);
+    drop(view.local, view.preferred_local);
+    drop(view.remote, view.preferred_remote);
     if (view.own != nullptr && leaves(view.own)) {
         view.own = nullptr;
     }
@@ -133,7 +133,7 @@
         }
     }
     for (const auto& own : own_servers_) {
-        view.near.push_back(&own);
+        view.local.push_back(&own);
         view.own = &own;
     }
 }
--- a/src/sidecar/settings_watch.cpp
+++ b/src/sidecar/settings_watch.cpp
@@ -42,7 +42,7 @@
 void SettingsWatch::note_suspension() {
     const auto steady = std::chrono::steady_clock::now().time_since_epoch();
     const auto now = TimePoint::clock::now();
-    if (const auto gap = observability::take_suspension(suspension_, now, steady)) {
+    if (const auto gap = observability::detect_suspension(suspension_, now, steady)) {
         log_event(Event::kMachineSuspended,
                   {{"suspended_ms", std::to_string(to_milliseconds(*gap))},
                    {"steady_ms", std::to_string(to_milliseconds(steady))},
--- a/src/sidecar/wire_dialect.hpp
+++ b/src/sidecar/wire_dialect.hpp
@@ -46,7 +46,7 @@
 /// A server registers, or leaves.
 struct RegistrationCall {
     bool leaves = false;
-    registration::Heartbeat heartbeat;  ///< Only `instance` and `born` are set when it leaves.
+    registration::Heartbeat heartbeat;  ///< Only `instance` and `start_time` are set when it leaves.
 };
 
 /// What a server says of itself when it is asked for its health.
--- a/src/sidecar/zone_registrations.cpp
+++ b/src/sidecar/zone_registrations.cpp
@@ -44,7 +44,7 @@
         missing.push_back({key, addresses.at(key)});
     }
     // What doesn't fit is still missing at the next listing.
-    missing.resize(std::min(missing.size(), store::kMostWritten));
+    missing.resize(std::min(missing.size(), store::kMaxItemsPerWrite));
     if (missing.empty()) {
         return;
     }
@@ -58,7 +58,7 @@
 std::map<std::string, std::string> ZoneRegistrations::expected_addresses() {
     std::map<std::string, std::string> addresses{
         {member_key(context_.settings.name), context_.settings.advertised_gossip.text()}};
-    for (const auto& peer : directory_.near_reachable(TimePoint::clock::now())) {
+    for (const auto& peer : directory_.reachable_in_local_zone(TimePoint::clock::now())) {
         addresses[member_key(peer.name)] = peer.gossip.text();
     }
     return addresses;
--- a/src/store/coordination_store.hpp
+++ b/src/store/coordination_store.hpp
@@ -34,7 +34,7 @@
 };
 
 /// Most items of one write, by the store's protocol.
-inline constexpr std::size_t kMostWritten = 32;
+inline constexpr std::size_t kMaxItemsPerWrite = 32;
 
 struct ReadReply {
     CallOutcome outcome = CallOutcome::kUnknown;
@@ -79,7 +79,7 @@
                            TimePoint deadline) = 0;
     /// Changes below `prefix` after a revision; comes back without any once `wait` is over.
     virtual WatchReply watch(const std::string& prefix, std::uint64_t after_revision, milliseconds wait) = 0;
-    /// Writes keys and values, all or none, whatever the revisions; at most `kMostWritten` of them.
+    /// Writes keys and values, all or none, whatever the revisions; at most `kMaxItemsPerWrite` of them.
     virtual WriteReply write(const std::vector<StoreItem>& items, TimePoint deadline) = 0;
     /// Removes one key if `revision` is still its latest change; a conflict otherwise.
     virtual WriteReply remove(const std::string& key, std::uint64_t revision, TimePoint deadline) = 0;
--- a/src/store/etcd_store.cpp
+++ b/src/store/etcd_store.cpp
@@ -234,7 +234,7 @@
         return result;
     }
     const bool succeeded = answer.contains("succeeded") && answer["succeeded"] == true;
-    result.outcome = succeeded ? SwapOutcome::kDone : SwapOutcome::kLost;
+    result.outcome = succeeded ? SwapOutcome::kDone : SwapOutcome::kConflict;
     result.revision = *new_revision;
     return result;
 }
--- a/src/store/key_value_store.hpp
+++ b/src/store/key_value_store.hpp
@@ -33,9 +33,9 @@
 /// What is known after a compare-and-swap.
 enum class SwapOutcome {
     kDone,
-    kLost,     ///< The compared key had another revision; nothing was written.
-    kRefused,  ///< The store could not be reached or refused to act; nothing was written.
-    kUnknown,  ///< No answer came; it may have been written.
+    kConflict,  ///< The compared key had another revision; nothing was written.
+    kRefused,   ///< The store could not be reached or refused to act; nothing was written.
+    kUnknown,   ///< No answer came; it may have been written.
 };
 
 struct SwapResult {
--- a/src/store/table_store.cpp
+++ b/src/store/table_store.cpp
@@ -205,7 +205,7 @@
     }
     result.changes = config::changed_cells(current.record.table, next);
     if (result.changes.empty() && current.revision != 0) {
-        return AcceptOutcome::kNothingToDo;
+        return AcceptOutcome::kUnchanged;
     }
     const TableRecord record{current.record.sequence + 1, result.change_id, author, utc_now(), next};
     const HistoryEntry entry{record.sequence, record.change_id, author, record.accepted_at, result.changes};
@@ -220,7 +220,7 @@
             return AcceptOutcome::kUnreachable;
         case SwapOutcome::kUnknown:
             return settle(result);
-        case SwapOutcome::kLost:
+        case SwapOutcome::kConflict:
             break;
     }
     return std::nullopt;
--- a/src/store/table_store.hpp
+++ b/src/store/table_store.hpp
@@ -30,7 +30,7 @@
 
 enum class AcceptOutcome {
     kAccepted,
-    kNothingToDo,  ///< The store has this very table.
+    kUnchanged,    ///< The store has this very table.
     kCollision,    ///< Another change was accepted meanwhile and touches the same cells.
     kUnknown,      ///< No answer came and the store can't be asked; `outcome CHANGE-ID` answers later.
     kUnreachable,  ///< The store can't be reached; nothing was written.
--- a/src/suspects/suspect_server.cpp
+++ b/src/suspects/suspect_server.cpp
@@ -15,7 +15,7 @@
     const membership::KnownServer* best = nullptr;
     std::uint64_t highest = 0;
 
-    for (const auto* servers : { &view.near, &view.far })
+    for (const auto* servers : { &view.local, &view.remote })
     {
         for (const auto* it : *servers)
         {
--- a/src/tenancy/quota_bucket.hpp
+++ b/src/tenancy/quota_bucket.hpp
@@ -78,7 +78,7 @@
     if (refused > 0)
     {
         bucket.queueEnds = std::max (bucket.queueEnds, now) + timeOf (refused);
-        bucket.queueEnds = std::min<TimePoint> (bucket.queueEnds, now + retry_after::kMostQuotaExceeded);
+        bucket.queueEnds = std::min<TimePoint> (bucket.queueEnds, now + retry_after::kMaxQuotaExceeded);
         grant.retryAfter = std::max (grant.untilNext, bucket.queueEnds - now);
     }
 
--- a/tests/incidents/crash_model.cpp
+++ b/tests/incidents/crash_model.cpp
@@ -179,7 +179,7 @@
         for (std::size_t n = 0; n < numServers; ++n)
         {
             if (servers[n].isUp)
-                view.near.push_back (&known[n]);
+                view.local.push_back (&known[n]);
         }
 
         const bool isSuspect = crashesOf (request.daemon, request.identity()) > 0;
@@ -190,7 +190,7 @@
         else
         {
             std::vector<const membership::KnownServer*> left;
-            std::copy_if (view.near.begin(), view.near.end(), std::back_inserter (left),
+            std::copy_if (view.local.begin(), view.local.end(), std::back_inserter (left),
                           [&] (const auto* it)
                           {
                               return std::find (request.tried.begin(), request.tried.end(),
--- a/tests/unit/hop/hop_header_test.cpp
+++ b/tests/unit/hop/hop_header_test.cpp
@@ -13,7 +13,7 @@
     CHECK(received->caller == "orders");
     CHECK(received->priority == 2);
     CHECK(received->remaining == milliseconds(1'250));
-    CHECK(received->longest_wait == milliseconds(250));
+    CHECK(received->max_wait == milliseconds(250));
     CHECK(received->at_most_once);
     CHECK(received->retry_percent == 35);
     CHECK(received->row == "route/2");
--- a/tests/unit/membership/peer_directory_test.cpp
+++ b/tests/unit/membership/peer_directory_test.cpp
@@ -33,8 +33,8 @@
 TEST_CASE("servers of reachable peers are known") {
     auto peers = directory();
     CHECK(peers.on_record(kStart, record("a", 1, 1)) == PeerChange::kAppeared);
-    REQUIRE(peers.servers_of(kStart, "orders").near.size() == 1);
-    CHECK(peers.servers_of(kStart, "orders").near.front()->peer == "a");
+    REQUIRE(peers.servers_of(kStart, "orders").local.size() == 1);
+    CHECK(peers.servers_of(kStart, "orders").local.front()->peer == "a");
     CHECK(peers.servers_of(kStart, "other").empty());
 }
 
@@ -50,7 +50,7 @@
     auto peers = directory();
     peers.on_record(kStart, record("a", 1, 50));
     CHECK(peers.on_record(kStart, record("a", 2, 1)) == PeerChange::kAppeared);
-    CHECK(peers.servers_of(kStart, "orders").near.front()->boot_id == 2);
+    CHECK(peers.servers_of(kStart, "orders").local.front()->boot_id == 2);
 }
 
 TEST_CASE("a silent peer is unreachable but still sent to") {
@@ -68,11 +68,11 @@
     auto peers = directory();
     peers.on_record(kStart, record("a", 1, 1));
     peers.on_unreachable("a", 2);
-    CHECK(peers.servers_of(kStart, "orders").near.size() == 1);
+    CHECK(peers.servers_of(kStart, "orders").local.size() == 1);
     peers.on_unreachable("a", 1);
     CHECK(peers.servers_of(kStart, "orders").empty());
     peers.on_record(kStart, record("a", 1, 2));
-    CHECK(peers.servers_of(kStart, "orders").near.size() == 1);
+    CHECK(peers.servers_of(kStart, "orders").local.size() == 1);
 }
 
 TEST_CASE("a leaving peer's server gets nothing new") {
@@ -101,11 +101,11 @@
     load.instance = "a-server";
     load.in_flight = 7;
     peers.on_load("a", load);
-    CHECK(peers.servers_of(kStart, "orders").near.front()->server.in_flight == 7);
+    CHECK(peers.servers_of(kStart, "orders").local.front()->server.in_flight == 7);
     load.instance = "another";
     load.in_flight = 9;
     peers.on_load("a", load);
-    CHECK(peers.servers_of(kStart, "orders").near.front()->server.in_flight == 7);
+    CHECK(peers.servers_of(kStart, "orders").local.front()->server.in_flight == 7);
 }
 
 TEST_CASE("records survive their encoding, and malformed ones are refused") {
@@ -123,13 +123,13 @@
 }
 
 TEST_CASE("a large fleet tells more slowly, and silence is judged by that") {
-    CHECK(record_periods({8, 8}).near == seconds(1));
-    CHECK(record_periods({8, 8}).far == seconds(1));
-    CHECK(record_periods({8, 8}, true).far < seconds(1));
-    CHECK(record_periods({50, 250}).near == milliseconds(2'500));
-    CHECK(record_periods({50, 250}).far == milliseconds(12'500));
-    CHECK(record_periods({50, 250}, true).near == seconds(3));
-    CHECK(record_periods({50, 250}, true).far == seconds(3));
+    CHECK(record_periods({8, 8}).local == seconds(1));
+    CHECK(record_periods({8, 8}).remote == seconds(1));
+    CHECK(record_periods({8, 8}, true).remote < seconds(1));
+    CHECK(record_periods({50, 250}).local == milliseconds(2'500));
+    CHECK(record_periods({50, 250}).remote == milliseconds(12'500));
+    CHECK(record_periods({50, 250}, true).local == seconds(3));
+    CHECK(record_periods({50, 250}, true).remote == seconds(3));
     PeerDirectory directory("self", "z0", {});
     const TimePoint now{seconds(100)};
     for (int index = 0; index < 300; ++index) {
@@ -143,50 +143,50 @@
     // One lost datagram is no silence.
     CHECK(directory.reachable_count(now + seconds(7)) == 300);
     // Those of the own zone are missed first.
-    CHECK(directory.near_reachable(now + seconds(7)).size() == 50);
-    CHECK(directory.near_reachable(now + seconds(9)).empty());
+    CHECK(directory.reachable_in_local_zone(now + seconds(7)).size() == 50);
+    CHECK(directory.reachable_in_local_zone(now + seconds(9)).empty());
     CHECK(directory.reachable_count(now + seconds(30)) == 250);
     CHECK(directory.reachable_count(now + seconds(45)) == 0);
 }
 
 TEST_CASE("a working watch counts only of a peer of the own zone that is heard") {
     auto peers = directory();
-    auto far = record("far", 1, 1);
-    far.zone = "z2";
-    far.watches_store = true;
-    peers.on_record(kStart, far);
-    CHECK_FALSE(peers.any_near_watches(kStart));
-    auto near = record("near", 1, 1);
-    near.watches_store = true;
-    peers.on_record(kStart, near);
-    CHECK(peers.any_near_watches(kStart));
-    CHECK_FALSE(peers.any_near_watches(kStart + seconds(4)));
-    near.watches_store = false;
-    near.sequence = 2;
-    peers.on_record(kStart, near);
-    CHECK_FALSE(peers.any_near_watches(kStart));
+    auto remote = record("far", 1, 1);
+    remote.zone = "z2";
+    remote.watches_store = true;
+    peers.on_record(kStart, remote);
+    CHECK_FALSE(peers.any_watch_in_local_zone(kStart));
+    auto local = record("near", 1, 1);
+    local.watches_store = true;
+    peers.on_record(kStart, local);
+    CHECK(peers.any_watch_in_local_zone(kStart));
+    CHECK_FALSE(peers.any_watch_in_local_zone(kStart + seconds(4)));
+    local.watches_store = false;
+    local.sequence = 2;
+    peers.on_record(kStart, local);
+    CHECK_FALSE(peers.any_watch_in_local_zone(kStart));
 }
 
 TEST_CASE("a view of a service's servers follows every change at once, and silence a moment later") {
     auto peers = directory();
     peers.on_record(kStart, record("a", 1, 1));
-    REQUIRE(peers.servers_of(kStart, "orders").near.size() == 1);
-    auto far = record("b", 1, 1);
-    far.zone = "z2";
-    peers.on_record(kStart, far);
-    REQUIRE(peers.servers_of(kStart, "orders").far.size() == 1);
-    CHECK(peers.servers_of(kStart, "orders").far.front()->peer == "b");
+    REQUIRE(peers.servers_of(kStart, "orders").local.size() == 1);
+    auto remote = record("b", 1, 1);
+    remote.zone = "z2";
+    peers.on_record(kStart, remote);
+    REQUIRE(peers.servers_of(kStart, "orders").remote.size() == 1);
+    CHECK(peers.servers_of(kStart, "orders").remote.front()->peer == "b");
     // A refreshed record is seen through the view that was made before.
     auto busy = record("a", 1, 2);
     busy.servers.front().in_flight = 5;
     busy.servers.front().latency_us = 900;
     peers.on_record(kStart, busy);
-    CHECK(peers.servers_of(kStart, "orders").near.front()->server.in_flight == 5);
+    CHECK(peers.servers_of(kStart, "orders").local.front()->server.in_flight == 5);
     auto leaving = record("a", 1, 3);
     leaving.leaving = true;
     peers.on_record(kStart, leaving);
-    CHECK(peers.servers_of(kStart, "orders").near.empty());
-    CHECK(peers.servers_of(kStart + milliseconds(3'400), "orders").far.size() == 1);
+    CHECK(peers.servers_of(kStart, "orders").local.empty());
+    CHECK(peers.servers_of(kStart + milliseconds(3'400), "orders").remote.size() == 1);
     CHECK(peers.servers_of(kStart + milliseconds(3'600), "orders").empty());
 }
 
@@ -200,10 +200,10 @@
             peers.on_record(kStart, record("peer-" + std::to_string(server), 1, 1));
         }
         const auto& view = peers.servers_of(kStart, "orders");
-        REQUIRE(view.near.size() == servers);
-        REQUIRE(view.usual_near == 6);
-        for (std::size_t index = 0; index < view.usual_near; ++index) {
-            ++users[view.near[index]->peer];
+        REQUIRE(view.local.size() == servers);
+        REQUIRE(view.preferred_local == 6);
+        for (std::size_t index = 0; index < view.preferred_local; ++index) {
+            ++users[view.local[index]->peer];
         }
     }
     // 12.5 on average; nobody is left without, and nobody has more than twice that.
@@ -215,9 +215,9 @@
 }
 
 TEST_CASE("a large fleet's daemons announce themselves to all more rarely") {
-    CHECK(least_announcement_gap({4, 10}) == milliseconds(70));
-    CHECK(least_announcement_gap({17, 53}) == milliseconds(350));
-    CHECK(least_announcement_gap({50, 100}) == seconds(1));
-    CHECK(least_announcement_gap({48, 246}) == milliseconds(2'940));
-    CHECK(least_announcement_gap({}) == Duration::zero());
+    CHECK(min_announcement_gap({4, 10}) == milliseconds(70));
+    CHECK(min_announcement_gap({17, 53}) == milliseconds(350));
+    CHECK(min_announcement_gap({50, 100}) == seconds(1));
+    CHECK(min_announcement_gap({48, 246}) == milliseconds(2'940));
+    CHECK(min_announcement_gap({}) == Duration::zero());
 }
--- a/tests/unit/membership/server_notices_test.cpp
+++ b/tests/unit/membership/server_notices_test.cpp
@@ -9,10 +9,10 @@
 
 const TimePoint kNow = TimePoint() + seconds(1'000);
 
-ServerRecord server(const std::string& instance, std::uint64_t born = 0) {
+ServerRecord server(const std::string& instance, std::uint64_t start_time = 0) {
     ServerRecord record;
     record.instance = instance;
-    record.born = born;
+    record.start_time = start_time;
     return record;
 }
 
--- a/tests/unit/observability/catalogue_test.cpp
+++ b/tests/unit/observability/catalogue_test.cpp
@@ -45,7 +45,7 @@
         const std::string line = "| " + std::to_string(answer.event_number) + " | " +
                                  std::string(answer.name) + " | " + std::to_string(answer.http_status) +
                                  " | " + std::string(execution_name(answer.execution)) + " | " +
-                                 (answer.come_back == ComeBack::kSoon ? "yes" : "no") + " | " +
+                                 (answer.retry_advice == RetryAdvice::kSoon ? "yes" : "no") + " | " +
                                  std::string(answer.title) + " |";
         INFO(line);
         CHECK(text.find(line) != std::string::npos);
--- a/tests/unit/observability/suspension_test.cpp
+++ b/tests/unit/observability/suspension_test.cpp
@@ -9,16 +9,16 @@
     SuspensionWatch watch;
     const TimePoint start{seconds(500)};
     const Duration steady = seconds(100);
-    CHECK_FALSE(take_suspension(watch, start, steady));
-    CHECK_FALSE(take_suspension(watch, start + seconds(1), steady + seconds(1)));
-    CHECK(take_suspension(watch, start + seconds(6), steady + seconds(2)) == Duration(seconds(4)));
-    CHECK_FALSE(take_suspension(watch, start + seconds(7), steady + seconds(3)));
+    CHECK_FALSE(detect_suspension(watch, start, steady));
+    CHECK_FALSE(detect_suspension(watch, start + seconds(1), steady + seconds(1)));
+    CHECK(detect_suspension(watch, start + seconds(6), steady + seconds(2)) == Duration(seconds(4)));
+    CHECK_FALSE(detect_suspension(watch, start + seconds(7), steady + seconds(3)));
 }
 
 TEST_CASE("a process that is short of processor time between two readings wasn't suspended") {
     SuspensionWatch watch;
     const TimePoint start{seconds(500)};
-    CHECK_FALSE(take_suspension(watch, start, seconds(100)));
-    CHECK_FALSE(take_suspension(watch, start + seconds(1), seconds(101) - milliseconds(150)));
-    CHECK_FALSE(take_suspension(watch, start + seconds(2), seconds(102) + milliseconds(150)));
+    CHECK_FALSE(detect_suspension(watch, start, seconds(100)));
+    CHECK_FALSE(detect_suspension(watch, start + seconds(1), seconds(101) - milliseconds(150)));
+    CHECK_FALSE(detect_suspension(watch, start + seconds(2), seconds(102) + milliseconds(150)));
 }
--- a/tests/unit/registration/server_registry_test.cpp
+++ b/tests/unit/registration/server_registry_test.cpp
@@ -131,9 +131,9 @@
 
 namespace {
 
-Heartbeat started(std::uint64_t born, std::uint64_t sequence, bool draining = false) {
+Heartbeat started(std::uint64_t start_time, std::uint64_t sequence, bool draining = false) {
     auto beat = heartbeat("a", sequence, draining);
-    beat.born = ServerStart(born);
+    beat.start_time = ServerStart(start_time);
     return beat;
 }
 
@@ -232,11 +232,11 @@
 TEST_CASE("a later start of a server that left by an answer serves") {
     ServerRegistry registry;
     auto first = heartbeat("a", 1);
-    first.born = ServerStart(100);
+    first.start_time = ServerStart(100);
     registry.on_heartbeat(kStart, first);
     registry.on_leaving_answer("a");
     auto second = heartbeat("a", 1);
-    second.born = ServerStart(200);
+    second.start_time = ServerStart(200);
     CHECK(registry.on_heartbeat(kStart, second) == RegistryChange::kAppeared);
     CHECK(registry.find_ready("a") != nullptr);
 }
--- a/tests/unit/selection/return_trial_test.cpp
+++ b/tests/unit/selection/return_trial_test.cpp
@@ -23,8 +23,8 @@
     const auto failing = server ("failing");
     const auto sound = server ("sound");
     membership::ServiceView view;
-    view.near = { &sound };
-    view.far = { &failing };
+    view.local = { &sound };
+    view.remote = { &failing };
     ReturnTrials trials;
     const TimePoint begin{};
     CHECK (startDueTrial (trials, begin, view) == nullptr);
@@ -61,7 +61,7 @@
     const auto failing = server ("failing");
     const membership::ServiceView without;
     membership::ServiceView with;
-    with.near = { &failing };
+    with.local = { &failing };
     ReturnTrials trials;
     const TimePoint begin{};
     recordTrialResult (trials, begin, "failing", true);
--- a/tests/unit/selection/server_selection_test.cpp
+++ b/tests/unit/selection/server_selection_test.cpp
@@ -53,11 +53,11 @@
         membership::ServiceView view;
 
         for (const auto& it : servers)
-            (it.zone == state.ownZone ? view.near : view.far).push_back (&it);
+            (it.zone == state.ownZone ? view.local : view.remote).push_back (&it);
 
         view.mean_latency_us = usualUs;
-        view.usual_near = std::min<std::size_t> (view.near.size(), 6);
-        view.usual_far = std::min<std::size_t> (view.far.size(), 3);
+        view.preferred_local = std::min<std::size_t> (view.local.size(), 6);
+        view.preferred_remote = std::min<std::size_t> (view.remote.size(), 3);
         return view;
     }
 
@@ -93,7 +93,7 @@
     auto cold = server ("b", "here", 1);
     cold.server.cold_ms = 1'000;
     CHECK (fixture.cost (plain) < fixture.cost (cold));
-    cold.heard = fixture.now - seconds (2);
+    cold.last_seen = fixture.now - seconds (2);
     CHECK (fixture.cost (plain) == Approx (fixture.cost (cold)));
     const double before = fixture.cost (plain);
 
@@ -139,9 +139,9 @@
 TEST_CASE ("the own zone serves while it has room, and another one beyond that", "[selection]")
 {
     const Fixture fixture;
-    const auto far = server ("far", "there", 3);
-    CHECK (fixture.choose ({ server ("near", "here", 5), far })->server.instance == "near");
-    CHECK (fixture.choose ({ server ("near", "here", 9), far })->server.instance == "far");
+    const auto remote = server ("far", "there", 3);
+    CHECK (fixture.choose ({ server ("near", "here", 5), remote })->server.instance == "near");
+    CHECK (fixture.choose ({ server ("near", "here", 9), remote })->server.instance == "far");
 }
 
 TEST_CASE ("a server that was given up after a long silence has failed, one that was not awaited hasn't",
--- a/tests/unit/store/store_test.cpp
+++ b/tests/unit/store/store_test.cpp
@@ -44,7 +44,7 @@
             current = value.key == key ? value.mod_revision : current;
         }
         if (current != expected) {
-            return {SwapOutcome::kLost, revision, {}};
+            return {SwapOutcome::kConflict, revision, {}};
         }
         ++revision;
         for (const auto& put : puts) {
@@ -156,5 +156,5 @@
     auto bad = editing.table;
     bad.rows.push_back(bad.rows.front());
     CHECK(editing.tables.accept(editing.load(), bad, "me").outcome == AcceptOutcome::kBadTable);
-    CHECK(editing.tables.accept(editing.load(), editing.table, "me").outcome == AcceptOutcome::kNothingToDo);
+    CHECK(editing.tables.accept(editing.load(), editing.table, "me").outcome == AcceptOutcome::kUnchanged);
 }
--- a/tests/unit/suspects/crash_report_test.cpp
+++ b/tests/unit/suspects/crash_report_test.cpp
@@ -136,8 +136,8 @@
     for (std::size_t n = 0; n < servers.size(); ++n)
     {
         servers[n].server.instance = "i-" + std::to_string (n);
-        (n < 2 ? here.near : here.far).push_back (&servers[n]);
-        (n < 2 ? there.far : there.near).push_back (&servers[n]);
+        (n < 2 ? here.local : here.remote).push_back (&servers[n]);
+        (n < 2 ? there.remote : there.local).push_back (&servers[n]);
     }
 
     const RequestDigest digest{ 4, 2 };
--- a/tests/unit/tenancy/quota_test.cpp
+++ b/tests/unit/tenancy/quota_test.cpp
@@ -211,7 +211,7 @@
     const auto second = takeTokens (bucket, start, terms, 10).retryAfter;
     CHECK (first == milliseconds (100));
     CHECK (second == milliseconds (200));
-    CHECK (takeTokens (bucket, start, terms, 100'000).retryAfter == retry_after::kMostQuotaExceeded);
+    CHECK (takeTokens (bucket, start, terms, 100'000).retryAfter == retry_after::kMaxQuotaExceeded);
 }
 
 TEST_CASE ("tokens that aren't used in time are returned")
--- a/tests/unit/wire/catalogue_golden_test.cpp
+++ b/tests/unit/wire/catalogue_golden_test.cpp
@@ -97,7 +97,7 @@
                 "\n  event: " + std::to_string(answer.event_number) +
                 "\n  status: " + std::to_string(answer.http_status) +
                 "\n  execution: " + std::string(execution_name(answer.execution)) +
-                "\n  come back: " + (answer.come_back == ComeBack::kSoon ? "soon" : "never") +
+                "\n  come back: " + (answer.retry_advice == RetryAdvice::kSoon ? "soon" : "never") +
                 "\n  title: " + std::string(answer.title) + "\n  message: " + code.message() + "\n";
         CHECK(error_kind_from_name(answer.name) == answer.kind);
     }
--- a/tests/unit/wire/hop_header_golden_test.cpp
+++ b/tests/unit/wire/hop_header_golden_test.cpp
@@ -77,7 +77,7 @@
     CHECK(request->caller == "orders");
     CHECK(request->priority == 2);
     CHECK(request->remaining == milliseconds(1'250));
-    CHECK(request->longest_wait == milliseconds(251));
+    CHECK(request->max_wait == milliseconds(251));
     CHECK(request->at_most_once);
     CHECK(request->retry_percent == 35);
     CHECK(request->row == "route/2");
--- a/tests/unit/wire/platform_calls_test.cpp
+++ b/tests/unit/wire/platform_calls_test.cpp
@@ -222,7 +222,7 @@
     }
     text += "end of a verdict's key: " + RequestDigest{0x0123456789abcdefULL, 0xfedcba9876543210ULL}.text() +
             "\n";
-    text += "most items of a write: " + std::to_string(store::kMostWritten) + "\n";
+    text += "most items of a write: " + std::to_string(store::kMaxItemsPerWrite) + "\n";
     using enum store::CallOutcome;
     for (const auto outcome : {kDone, kNotFound, kConflict, kHistoryLost, kRefused, kUnknown}) {
         text += "outcome: " + std::string(store::call_outcome_name(outcome)) + "\n";
--- a/tests/unit/wire/platform_documents_test.cpp
+++ b/tests/unit/wire/platform_documents_test.cpp
@@ -32,7 +32,7 @@
 }
 
 std::string text_of(const registration::Heartbeat& heartbeat) {
-    return "  instance: " + heartbeat.instance + "\n  born: " + std::to_string(heartbeat.born.value) +
+    return "  instance: " + heartbeat.instance + "\n  born: " + std::to_string(heartbeat.start_time.value) +
            "\n  service: " + heartbeat.service + "\n  address: " + heartbeat.address.text() +
            "\n  zone: " + heartbeat.zone + "\n  slots: " + std::to_string(heartbeat.slots) +
            "\n  draining: " + yes_or_no(heartbeat.draining) +
