--- a/src/config/mechanisms.hpp
+++ b/src/config/mechanisms.hpp
@@ -18,29 +18,29 @@
     kEarlyRefusal,       ///< Off: root requests for a service without capacity aren't refused at the edge.
     kGateLimit,          ///< Off: gates let any number of requests run at their server.
     kConnectionHygiene,  ///< Off: connections are kept for later requests whatever became of the exchange.
-    kOutcomeTruth,       ///< Off: a request that may have run is reported as not run.
+    kExactOutcomes,      ///< Off: a request that may have run is reported as not run.
     kClaims,             ///< Off: non-repeatable requests are sent without a claim.
     kClaimAbstention,    ///< Off: a claim holder that restarted grants claims at once.
     kLeavingDetection,   ///< Off: servers that are leaving get new requests.
-    kDrain,              ///< Off: a planned stop doesn't wait for requests in flight.
+    kGracefulDrain,      ///< Off: a planned stop doesn't wait for requests in flight.
     kRevisionOrder,      ///< Off: an older revision of a document replaces a newer one.
-    kPeerSpread,         ///< Off: documents come from the store alone, not from peers.
+    kPeerDistribution,   ///< Off: documents come from the store alone, not from peers.
     // Of the sidecar alone.
-    kFleetCounts,       ///< Off: early refusal goes by this daemon's own counts alone.
-    kOnsetReports,      ///< Off: the first refusals after a calm time aren't reported at once.
-    kRetryAfterSpread,  ///< Off: early refusals all name the same time to come back.
-    kHedging,           ///< Off: a slow attempt isn't joined by another one.
-    kRetries,           ///< Off: no request is sent again. "repeats" in settings.
-    kUsualServers,      ///< Off: a daemon prefers none of a service's servers.
-    kZonePreference,    ///< Off: servers of the own zone aren't preferred.
-    kColdServers,       ///< Off: servers that have just started get their full share.
-    kFailingServers,    ///< Off: servers that fail get their full share.
-    kConnectBackoff,    ///< Off: a server that can't be connected to is tried each time. "reach-limit".
-    kIdleLimit,         ///< Off: kept connections are used however long they were idle. "rest-limit".
-    kServerProbe,       ///< Off: a starting daemon waits for the heartbeat of the server beside it.
-    kServerWait,        ///< Off: after a start, requests fail at once if no server is known yet.
-    kKeyProof,          ///< Off: requests with keys are served however old the configuration may be.
-    kQuotas,            ///< Off: tenants aren't held to their quotas.
+    kFleetWideCounts,         ///< Off: early refusal goes by this daemon's own counts alone.
+    kOverloadOnsetReports,    ///< Off: the first refusals after a calm time aren't reported at once.
+    kRetryAfterJitter,        ///< Off: early refusals all name the same time to come back.
+    kHedging,                 ///< Off: a slow attempt isn't joined by another one.
+    kRetries,                 ///< Off: no request is sent again. "repeats" in settings.
+    kPreferredServers,        ///< Off: a daemon prefers none of a service's servers.
+    kZonePreference,          ///< Off: servers of the own zone aren't preferred.
+    kColdServerWeighting,     ///< Off: servers that have just started get their full share.
+    kFailingServerWeighting,  ///< Off: servers that fail get their full share.
+    kConnectBackoff,          ///< Off: a server that can't be connected to is tried each time. "reach-limit".
+    kIdleConnectionLimit,     ///< Off: kept connections are used however long they were idle. "rest-limit".
+    kStartupServerProbe,      ///< Off: a starting daemon waits for the heartbeat of the server beside it.
+    kStartupServerWait,       ///< Off: after a start, requests fail at once if no server is known yet.
+    kKeyFreshness,            ///< Off: requests with keys are served however old the configuration may be.
+    kQuotas,                  ///< Off: tenants aren't held to their quotas.
     kCount,
 };
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -144,7 +144,7 @@
     log_event(Event::kStopping, {});
     parts_->admin.set_stopping();
     parts_->membership.announce_self(membership::MemberState::kLeaving);
-    if (parts_->context.has(config::Mechanism::kDrain)) {
+    if (parts_->context.has(config::Mechanism::kGracefulDrain)) {
         parts_->drain();
     }
     parts_->membership.announce_self(membership::MemberState::kLeft);
--- a/src/daemon/document_service.cpp
+++ b/src/daemon/document_service.cpp
@@ -158,7 +158,7 @@
         return;
     }
     documents_[index] = document;
-    if (context_.has(config::Mechanism::kPeerSpread)) {
+    if (context_.has(config::Mechanism::kPeerDistribution)) {
         membership_.announce_revisions(revisions());
     }
 }
@@ -197,7 +197,7 @@
 
 void DocumentService::on_peer_revisions(const membership::MemberInfo& peer,
                                         const DocumentRevisions& revisions) {
-    if (!context_.has(config::Mechanism::kPeerSpread)) {
+    if (!context_.has(config::Mechanism::kPeerDistribution)) {
         return;
     }
     for (const auto kind : {DocumentKind::kTable, DocumentKind::kHolderView}) {
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -207,7 +207,7 @@
         const auto report = admission->end(SampleOutcome::kShed);
         const auto& overloaded = report.overloaded_service.empty() ? call.service : report.overloaded_service;
         const retry::ServerRefusal refusal{report.made_calls, held, TimePoint::clock::now() >= call.deadline};
-        const bool may_have_begun = !call.route.row.repeatable && context_.has(Mechanism::kOutcomeTruth) &&
+        const bool may_have_begun = !call.route.row.repeatable && context_.has(Mechanism::kExactOutcomes) &&
                                     !retry::proves_not_begun(refusal);
         if (may_have_begun) {
             log_doubted_refusal(call, refusal);
@@ -240,7 +240,7 @@
     const auto now = TimePoint::clock::now();
     const bool cancelled = call.cancel != nullptr && call.cancel->cancelled();
     const bool timed_out = now >= call.deadline;
-    const bool knows_truth = context_.has(Mechanism::kOutcomeTruth);
+    const bool knows_truth = context_.has(Mechanism::kExactOutcomes);
     ErrorKind kind = ErrorKind::kBackendFailed;
     if (cancelled) {
         kind = ErrorKind::kCancelled;
--- a/src/daemon/handles/server_route.cpp
+++ b/src/daemon/handles/server_route.cpp
@@ -126,7 +126,7 @@
                                       retry_after::kNoServer);
     // Nobody will say what was used: all of it counts as used.
     result.retries_used = call.context.retry_allowance;
-    if (!context_.has(config::Mechanism::kOutcomeTruth)) {
+    if (!context_.has(config::Mechanism::kExactOutcomes)) {
         result.execution = Execution::kNotRun;
         result.error = ErrorKind::kConnectFailed;
     }
--- a/src/sidecar/call_attempts.cpp
+++ b/src/sidecar/call_attempts.cpp
@@ -128,7 +128,7 @@
     terms.max_servers = request.body.whole() ? call.terms.max_servers : 1;
     terms.deadline = call.deadline;
     terms.refuse_unsent_at = wait_ends(call);
-    if (context_.has(Mechanism::kServerWait)) {
+    if (context_.has(Mechanism::kStartupServerWait)) {
         terms.servers_known_at = started_ + kServersKnownAfter;
     }
     const std::chrono::duration<double, std::micro> measured(
--- a/src/sidecar/call_ingress.cpp
+++ b/src/sidecar/call_ingress.cpp
@@ -97,7 +97,7 @@
     // A call that a server makes is never refused early: work has been done for it already.
     call.is_root = context_.origins.is_called_by_clients(call.route);
     if (call.is_root && is_refused_early(call)) {
-        const double part = context_.has(Mechanism::kRetryAfterSpread) ? context_.random_unit() : 0;
+        const double part = context_.has(Mechanism::kRetryAfterJitter) ? context_.random_unit() : 0;
         const auto spread = static_cast<double>(retry_after::kRefusedEarlySpread.count()) * part;
         return CallFailure{ErrorKind::kOverloaded,
                            retry_after::kRefusedEarly + milliseconds(static_cast<long long>(spread))};
--- a/src/sidecar/overload_tracker.hpp
+++ b/src/sidecar/overload_tracker.hpp
@@ -71,7 +71,7 @@
         std::string service;
     };
 
-    bool reports_onset() const { return settings_.mechanisms.has(config::Mechanism::kOnsetReports); }
+    bool reports_onset() const { return settings_.mechanisms.has(config::Mechanism::kOverloadOnsetReports); }
 
     const config::SidecarSettings& settings_;
     overload::RootLimitState limit_;
--- a/src/sidecar/peer_exchange.cpp
+++ b/src/sidecar/peer_exchange.cpp
@@ -175,7 +175,7 @@
     const bool listened = announced_ > now - milliseconds(record->uptime_ms);
     const bool has_record = directory_.knows(record->name) && listened && now - announced_ < kAnswerPause;
     const auto change = directory_.on_record(now, *record);
-    if (change != PeerChange::kNone && context_.has(config::Mechanism::kFleetCounts)) {
+    if (change != PeerChange::kNone && context_.has(config::Mechanism::kFleetWideCounts)) {
         context_.overload.on_peer_report(now, record->name, record->pressures);
     }
     if (change == PeerChange::kAppeared && !has_record) {
--- a/src/sidecar/proof_keeper.cpp
+++ b/src/sidecar/proof_keeper.cpp
@@ -55,7 +55,7 @@
 
 std::optional<Duration> ProofKeeper::longest_age() const {
     const auto revocation = context_.settings.key_revocation;
-    if (revocation <= milliseconds(0) || !context_.has(config::Mechanism::kKeyProof)) {
+    if (revocation <= milliseconds(0) || !context_.has(config::Mechanism::kKeyFreshness)) {
         return std::nullopt;
     }
     return tenancy::maxProofAge(revocation);
--- a/src/sidecar/server_chooser.cpp
+++ b/src/sidecar/server_chooser.cpp
@@ -19,10 +19,10 @@
 
 selection::SelectionRules selection_rules(const SidecarContext& context) {
     selection::SelectionRules rules;
-    rules.usesPreferredServers = context.has(Mechanism::kUsualServers);
+    rules.usesPreferredServers = context.has(Mechanism::kPreferredServers);
     rules.prefersOwnZone = context.has(Mechanism::kZonePreference);
-    rules.avoidsCold = context.has(Mechanism::kColdServers);
-    rules.avoidsFailing = context.has(Mechanism::kFailingServers);
+    rules.avoidsCold = context.has(Mechanism::kColdServerWeighting);
+    rules.avoidsFailing = context.has(Mechanism::kFailingServerWeighting);
     return rules;
 }
 
@@ -68,7 +68,7 @@
 }
 
 const membership::KnownServer* ServerChooser::take_trial(TimePoint now, const membership::ServiceView& view) {
-    if (!context_.has(Mechanism::kFailingServers)) {
+    if (!context_.has(Mechanism::kFailingServerWeighting)) {
         return nullptr;
     }
     const auto* server = selection::startDueTrial(trials_, now, view);
--- a/src/sidecar/server_exchange.cpp
+++ b/src/sidecar/server_exchange.cpp
@@ -26,7 +26,7 @@
                                  TimePoint now) {
     net::ExchangeOptions options{run.deadline + kAnswerSlack, run.cancel};
     options.expected_echo = context.dialect.echoed_field(run.request_id);
-    if (context.has(Mechanism::kIdleLimit)) {
+    if (context.has(Mechanism::kIdleConnectionLimit)) {
         options.longest_idle = connection::currentMaxIdle(server.idle_limit, now);
     }
     if (run.call.at_most_once) {
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -154,7 +154,7 @@
 
 void Sidecar::on_configuration(const routing::Configuration& configuration, ConfigurationSource source) {
     parts_->calls.set_limits(call_server_limits(configuration.clients));
-    if (!parts_->looked_for_server && parts_->context.has(config::Mechanism::kServerProbe)) {
+    if (!parts_->looked_for_server && parts_->context.has(config::Mechanism::kStartupServerProbe)) {
         parts_->looked_for_server = true;
         net::EventLoop::spawn([this] { find_server(); });
     }
