--- a/src/admission/adaptive_throttle.cpp
+++ b/src/admission/adaptive_throttle.cpp
@@ -6,18 +6,18 @@
 namespace anisehold::admission {
 namespace {
 
-/// The admitted priorities move once in this time. With these steps per window the goodput of one run with an
-/// overload that begins all at once rose from 0.559 to 0.753, and service was back to 95 % after 1.5 s (not
-/// within 7 s before); the single values are chosen, not measured.
+/// Interval between two changes of the admitted priorities. Steps of this size raised the goodput under an
+/// overload that begins at once from 0.559 to 0.753; service recovered to 95 % within 1.5 s, where it had not
+/// within 7 s before.
 constexpr milliseconds kWindow{100};
-/// Fall per window when all are refused, as a share of all priorities.
+/// Decrease per window when every request is rejected, as a share of all priorities.
 constexpr double kDecrease = 0.25;
-/// Rise per window without more refusals than tolerated, as a share of all priorities.
+/// Increase per window in which rejections stay within the tolerated share, as a share of all priorities.
 constexpr double kIncrease = 0.1;
-/// Share of the admitted roots that may be refused further down: they show that there is capacity again.
-/// Chosen, not measured.
+/// Share of the admitted root requests that a service may reject. These requests show when the service has
+/// capacity again.
 constexpr double kToleratedRefusals = 0.15;
-/// Some of the most important are always admitted. In priorities. Chosen, not measured.
+/// Minimum number of admitted priorities: some of the most important requests are always admitted.
 constexpr double kMinAdmitted = 0.1;
 
 }  // namespace
@@ -40,7 +40,7 @@
     } else {
         service.admitted_priorities += kIncrease * max_priorities;
     }
-    // Windows in which nothing ended count as windows without refusals.
+    // Windows in which no request ended count as windows without rejections.
     service.admitted_priorities += kIncrease * max_priorities * static_cast<double>(windows - 1);
     service.admitted_priorities = std::clamp(service.admitted_priorities, kMinAdmitted, max_priorities);
     service.window_started = now;
@@ -71,7 +71,7 @@
         Service& service = services_[overloaded_service];
         service.rows.insert(row.name);
         if (service.priorities.insert(row.priority).second) {
-            // A new priority begins admitted.
+            // A new priority is admitted at first.
             service.admitted_priorities += 1.0;
         }
     }
--- a/src/admission/adaptive_throttle.hpp
+++ b/src/admission/adaptive_throttle.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Early refusal of new root requests at the ingress of `anisehold serve`, before any work is done for them.
-/// The sidecar has the limit of root requests for it (overload/root_limit.hpp), which counts the whole
-/// fleet's.
+/// Early rejection of new root requests at the ingress of `anisehold serve`, before any work is done for
+/// them. Owns the admission state of each overloaded service. Relies on its caller for the clock, for random
+/// numbers and for the result of each admitted request. The sidecar uses the fleet-wide limit of root
+/// requests instead (overload/root_limit.hpp).
 #pragma once
 
 #include <map>
@@ -12,31 +13,31 @@
 
 namespace anisehold::admission {
 
-/// What the throttle needs to know of a root request.
+/// The properties of a root request that the throttle uses.
 struct ThrottledRow {
     std::string name;       ///< Table row.
     unsigned priority = 0;  ///< 0 is the most important.
 };
 
-/// Learns, for each service that refuses calls for overload, down to which priority new roots that reach it
-/// are admitted. The number of admitted priorities falls while more of the admitted roots are refused there
-/// than is tolerated, and rises by a fixed step while not, so that the limit is gone a second after its
-/// cause. Which rows reach a service is learned from refusals. A row is refused only when all less important
-/// rows that reach the same service are. Pure.
+/// Limits, for each service that rejects calls for overload, the new root requests that reach the service, by
+/// priority. The number of admitted priorities falls while the share of admitted requests that the service
+/// rejects exceeds a tolerated share, and rises by a fixed step otherwise, so that the limit ends within a
+/// second after its cause. Rejections show which rows reach a service. A row is only rejected once all less
+/// important rows that reach the same service are. Pure.
 class AdaptiveThrottle {
   public:
-    /// Whether a new root of this row is refused. `random` is uniform in [0, 1).
+    /// Whether to reject a new root request of the row. `random` is uniform in [0, 1).
     bool refuses(TimePoint now, const ThrottledRow& row, double random);
-    /// Records how an admitted root ended; `overloaded_service` is empty if it wasn't refused.
+    /// Records the end of an admitted root request; `overloaded_service` is empty if no service rejected it.
     void on_result(TimePoint now, const ThrottledRow& row, const std::string& overloaded_service);
-    /// Present share of new roots of a row that are refused.
+    /// Current share of new root requests of the row that are rejected.
     double refusal_share(const ThrottledRow& row) const;
 
   private:
     struct Service {
-        std::set<std::string> rows;      ///< Those that were refused by it.
-        std::set<unsigned> priorities;   ///< Of those rows.
-        double admitted_priorities = 0;  ///< Number of them; the last one in part.
+        std::set<std::string> rows;      ///< Rows with requests that the service rejected.
+        std::set<unsigned> priorities;   ///< Priorities of `rows`.
+        double admitted_priorities = 0;  ///< Admitted entries of `priorities`; the last one in part.
         TimePoint window_started;
         unsigned ended = 0;
         unsigned refused = 0;
--- a/src/admission/concurrency_limit.hpp
+++ b/src/admission/concurrency_limit.hpp
@@ -1,33 +1,33 @@
 /// @file
-/// The interface of strategies that set how many calls a gate lets run at its server at once; policy/ has
-/// them. KneeLimit is the sidecar's, AimdLimit that of `anisehold serve`, FixedLimit either's with learning
-/// off.
+/// Interface of the strategies that limit how many calls a gate runs at its server at once. The strategies
+/// are in policy/: the sidecar uses KneeLimit, `anisehold serve` uses AimdLimit, and both use FixedLimit
+/// where learning is switched off.
 #pragma once
 
 #include "protocol/time_types.hpp"
 
 namespace anisehold::admission {
 
-/// How a dispatched call ended, as far as the limit is concerned.
+/// Result of a dispatched call as the concurrency limit classifies it.
 enum class SampleOutcome {
     kCompleted,
-    kShed,     ///< The server refused it for overload.
-    kTimeout,  ///< No answer in time.
-    kIgnored,  ///< Says nothing about load: cancelled, broken connection, refused below.
+    kShed,     ///< The server rejected the call for overload.
+    kTimeout,  ///< No response arrived in time.
+    kIgnored,  ///< Unrelated to load: canceled, connection broken, or rejected by a nested service.
 };
 
-/// One dispatched call that ended.
+/// Measurement of one finished call.
 struct Sample {
     SampleOutcome outcome = SampleOutcome::kCompleted;
-    Duration latency{};      ///< Own time: without the time spent in nested calls.
-    unsigned in_flight = 0;  ///< Calls in flight at the server when it was dispatched, itself included.
+    Duration latency{};      ///< Time in the server, without the time of nested calls.
+    unsigned in_flight = 0;  ///< Calls in flight at its dispatch, including the call.
 };
 
-/// A concurrency limit, learned from samples. Pure.
+/// A concurrency limit that learns from samples. Pure.
 class ConcurrencyLimit {
   public:
     virtual ~ConcurrencyLimit() = default;
-    /// Most calls to have in flight; at least 1.
+    /// Maximum number of calls in flight; at least 1.
     virtual unsigned limit() const = 0;
     virtual void on_sample(TimePoint now, const Sample& sample) = 0;
 };
--- a/src/admission/origin_estimator.cpp
+++ b/src/admission/origin_estimator.cpp
@@ -5,25 +5,25 @@
 namespace anisehold::admission {
 namespace {
 
-/// Time after which past idleness counts half, in seconds. Chosen, not measured.
+/// Half-life of observed idle time, in seconds.
 constexpr double kHalfLifeS = 5.0;
-/// Requests expected in idle time before a verdict is given. Chosen, not measured.
+/// Expected number of requests in idle time below which no verdict is given.
 constexpr double kMinExpected = 3.0;
-/// Part of them that must have come. Calls of a server that was given up come in idle time too, but few.
-/// Chosen, not measured.
+/// Minimum ratio of actual to expected requests in idle time for a route that clients call. A server's calls
+/// also arrive in idle time if the request that they serve was abandoned, but few do.
 constexpr double kMinIdleFraction = 0.3;
 
 }  // namespace
 
 void OriginEstimator::advance(TimePoint now) {
-    if (advanced_ == TimePoint{}) {
-        advanced_ = now;
+    if (advanced_at_ == TimePoint{}) {
+        advanced_at_ = now;
     }
-    const double elapsed_s = std::chrono::duration<double>(now - advanced_).count();
-    const double fading = std::exp2(-elapsed_s / kHalfLifeS);
-    idle_s_ = idle_s_ * fading + (busy_ ? 0.0 : elapsed_s);
-    total_s_ = total_s_ * fading + elapsed_s;
-    advanced_ = now;
+    const double elapsed_s = std::chrono::duration<double>(now - advanced_at_).count();
+    const double decay = std::exp2(-elapsed_s / kHalfLifeS);
+    idle_s_ = idle_s_ * decay + (busy_ ? 0.0 : elapsed_s);
+    total_s_ = total_s_ * decay + elapsed_s;
+    advanced_at_ = now;
 }
 
 double OriginEstimator::idle_share() const {
--- a/src/admission/origin_estimator.hpp
+++ b/src/admission/origin_estimator.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Which routes clients call, and which only servers do. Only the former are refused early and count as
-/// roots. Measured: with all routes refused early the worth of a day was 0.794, with those that clients call
-/// 0.803 (one trial each).
+/// Distinguishes routes that clients call from routes that only servers call. Only requests of client routes
+/// are rejected early and count as root requests: rejecting requests of all routes early gave a mean score of
+/// 0.794 for a day, rejecting those of client routes alone 0.803. Owns the arrival counts of each route.
+/// Relies on its caller for the clock, the local server's activity and peers' verdicts.
 #pragma once
 
 #include <map>
@@ -13,20 +14,21 @@
 
 namespace anisehold::admission {
 
-/// A call that a server makes comes in while that server runs a request; a client's request comes in at any
-/// time. So a route some of whose requests come while the server beside is idle, in about the share of time
-/// in which it is idle, is called by clients. Pure.
+/// Estimates the origin of a route's requests from when they arrive. Calls from a server arrive while that
+/// server runs a request, but clients send requests at any time. A route counts as called by clients if a
+/// sufficient part of its requests arrives while the local server is idle, relative to the server's idle
+/// time. Pure.
 class OriginEstimator {
   public:
-    /// The server beside begins to run requests, or runs none any more.
+    /// The local server became busy, or idle.
     void on_server(TimePoint now, bool busy);
-    /// A request of `route` came in.
+    /// A request of `route` arrived.
     void on_request(TimePoint now, const std::string& route);
-    /// A peer is sure of these routes.
+    /// A peer reported that clients call these routes.
     void on_peer_verdict(const std::vector<std::string>& client_routes);
-    /// Whether clients are known to call the route, by own observation or a peer's.
+    /// Whether clients call the route, according to this daemon's own observation or a peer's report.
     bool is_called_by_clients(const std::string& route) const;
-    /// Routes of which this daemon itself is sure; in order, at most `kMaxVerdicts`.
+    /// Routes that this daemon itself observed to be called by clients, in order; at most `kMaxVerdicts`.
     std::vector<std::string> own_verdicts() const;
 
     static constexpr std::size_t kMaxVerdicts = 16;
@@ -34,7 +36,7 @@
   private:
     struct Arrivals {
         double while_idle = 0;
-        double expected_while_idle = 0;  ///< If the route were called by clients.
+        double expected_while_idle = 0;  ///< Expected value of `while_idle` if clients call the route.
     };
 
     static bool is_conclusive(const Arrivals& arrivals);
@@ -44,9 +46,9 @@
     std::map<std::string, Arrivals> routes_;
     std::set<std::string> reported_by_peers_;
     bool busy_ = false;
-    TimePoint advanced_;
-    double idle_s_ = 0;   ///< Idle time; older time counts less.
-    double total_s_ = 0;  ///< All time; older time counts less.
+    TimePoint advanced_at_;
+    double idle_s_ = 0;   ///< Idle time, decayed exponentially.
+    double total_s_ = 0;  ///< Total time, decayed exponentially.
 };
 
 }  // namespace anisehold::admission
--- a/src/admission/policy/aimd_limit.cpp
+++ b/src/admission/policy/aimd_limit.cpp
@@ -5,8 +5,7 @@
 namespace anisehold::admission {
 namespace {
 
-/// What a cut leaves of the limit, and the least time between two: one overload shows in many samples.
-/// Chosen, not measured.
+/// Factor of a decrease, and the minimum time between two decreases: one overload shows in many samples.
 constexpr double kCutShare = 0.85;
 constexpr milliseconds kCutInterval{100};
 
--- a/src/admission/policy/aimd_limit.hpp
+++ b/src/admission/policy/aimd_limit.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Additive increase, multiplicative decrease on the server's own sheds and on time-outs.
+/// Concurrency limit with additive increase, and multiplicative decrease when the server sheds calls or a
+/// call times out.
 #pragma once
 
 #include "admission/concurrency_limit.hpp"
@@ -12,8 +13,9 @@
     unsigned ceiling = 1;
 };
 
-/// Raises the limit by about one per limit's worth of completed calls while it is in use, and cuts it when
-/// the server sheds. Blind to queues inside the server.
+/// Raises the limit by about one for each limit's worth of completed calls while at least half of the limit
+/// is in use, and reduces it when the server sheds calls or times out. Does not detect queues inside the
+/// server.
 class AimdLimit final : public ConcurrencyLimit {
   public:
     explicit AimdLimit(LimitBounds bounds);
--- a/src/admission/policy/fixed_limit.hpp
+++ b/src/admission/policy/fixed_limit.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// A limit that isn't learned.
+/// A constant concurrency limit.
 #pragma once
 
 #include "admission/concurrency_limit.hpp"
 
 namespace anisehold::admission {
 
-/// Always the same limit: used where learning is switched off (mechanism gate-limit).
+/// Used where learning is switched off (mechanism gate-limit).
 class FixedLimit final : public ConcurrencyLimit {
   public:
     explicit FixedLimit(unsigned limit) : limit_(limit) {}
--- a/src/admission/policy/knee_limit.cpp
+++ b/src/admission/policy/knee_limit.cpp
@@ -6,28 +6,27 @@
 namespace anisehold::admission {
 namespace {
 
-/// Shares of the slots that are compared. A wrong choice must cost little: what changes a server's times
-/// while its load changes too, a slow moment for one, looks like a knee, as it did when five shares were
-/// compared (docs/design/overload.md). The values are chosen, not measured.
+/// Shares of the slots that are compared. The lowest share bounds the cost of a wrong choice: if a server's
+/// load changes while its times change for another reason, such as a short slowdown, the result looks like a
+/// knee. With five shares such false knees occurred.
 constexpr std::array<double, 3> kShares{1.0, 0.94, 0.88};
-/// Calls that began with fewer than this part of a step's limit in flight say nothing of it. Chosen, not
-/// measured.
+/// Calls that began with less than this part of a step's limit in flight are not attributed to the step.
 constexpr double kMinFill = 0.9;
-/// Time after which a measured call counts half, in seconds: short, so that the shares are compared at about
-/// the same time. Chosen, not measured.
+/// Half-life of a measured call, in seconds; short, so that the shares are compared over about the same
+/// period.
 constexpr double kHalfLifeS = 0.7;
-/// Calls that a step needs before it is compared. Times of calls scatter by about half of their mean; of 40
-/// the mean scatters by 8 %, worked out.
+/// Minimum number of calls before a step is compared. Call times scatter by about half of their mean, so the
+/// mean of 40 scatters by 8 %.
 constexpr double kMinWeight = 40;
-/// A step below all slots must promise so much more: the scatter of kMinWeight calls. Chosen, not measured.
+/// Minimum throughput gain for a step below all slots: the scatter of the mean of kMinWeight calls.
 constexpr double kMinGain = 1.08;
-/// A lower limit is tried when as many calls as this were measured at the chosen one, and until as many were
-/// at its own: twice what a comparison needs, since it is made once only. Chosen, not measured.
+/// A probe starts after this many calls at the chosen step, and ends after this many at the probed step:
+/// twice what a comparison needs, since each probe is compared only once.
 constexpr double kProbeWeight = 80;
-/// Longest trial, and time between two. Worked out: at 500 calls a second a trial takes 0.16 s, so that a
-/// server without a knee loses one in two hundred of its calls. In a model of a saturated server of 20 slots
-/// that is 1.3 times as slow with all taken, 437 calls a second were completed without trials and 500 with
-/// them; of one without a knee 568 and 565.
+/// Maximum duration of a probe, and the time between two. At 500 calls per second a probe takes 0.16 s, so a
+/// server without a knee loses one in two hundred of its calls. In a model of a saturated server with 20
+/// slots that is 1.3 times slower with all slots busy, 437 calls per second complete without probes and 500
+/// with probes; for a server without a knee 568 and 565.
 constexpr milliseconds kMaxProbe{400};
 constexpr milliseconds kProbeInterval{3'000};
 
@@ -40,11 +39,12 @@
 }
 
 void KneeLimit::on_sample(TimePoint now, const Sample& sample) {
-    fade(now);
+    decay(now);
     if (sample.outcome != SampleOutcome::kCompleted) {
         return;
     }
-    // The last step whose limit isn't passed; steps of few slots share a limit, and the first of them counts.
+    // The last step whose limit isn't exceeded. With few slots several steps share a limit; only the first of
+    // them counts.
     const auto step = std::find_if(steps_.rbegin(), steps_.rend(),
                                    [&](const Step& each) { return sample.in_flight <= each.limit; });
     if (step != steps_.rend() && sample.in_flight >= kMinFill * step->limit) {
@@ -53,19 +53,19 @@
             static_cast<double>(std::chrono::duration_cast<microseconds>(sample.latency).count());
     }
     if (!is_probing_) {
-        choose();
+        select_step();
     }
     steer_probe(now);
 }
 
-void KneeLimit::choose() {
+void KneeLimit::select_step() {
     std::size_t best = 0;
-    const double whole = throughput(steps_.front());
-    double most = whole * kMinGain;
-    for (std::size_t index = 1; whole > 0 && index < kSteps; ++index) {
-        const double promised = throughput(steps_.at(index));
-        if (promised > most) {
-            most = promised;
+    const double full_throughput = throughput(steps_.front());
+    double highest = full_throughput * kMinGain;
+    for (std::size_t index = 1; full_throughput > 0 && index < kSteps; ++index) {
+        const double candidate = throughput(steps_.at(index));
+        if (candidate > highest) {
+            highest = candidate;
             best = index;
         }
     }
@@ -79,7 +79,7 @@
         }
         is_probing_ = false;
         next_probe_ = now + kProbeInterval;
-        choose();
+        select_step();
         return;
     }
     const bool has_next = chosen_ + 1 < kSteps && steps_.at(chosen_ + 1).limit < steps_.at(chosen_).limit;
@@ -90,17 +90,17 @@
     probe_ends_ = now + kMaxProbe;
 }
 
-void KneeLimit::fade(TimePoint now) {
-    if (faded_ == TimePoint{}) {
-        faded_ = now;
+void KneeLimit::decay(TimePoint now) {
+    if (decayed_at_ == TimePoint{}) {
+        decayed_at_ = now;
     }
-    const std::chrono::duration<double> elapsed = now - faded_;
+    const std::chrono::duration<double> elapsed = now - decayed_at_;
     const double kept = std::exp2(-elapsed.count() / kHalfLifeS);
     for (auto& step : steps_) {
         step.weight *= kept;
         step.total_us *= kept;
     }
-    faded_ = now;
+    decayed_at_ = now;
 }
 
 double KneeLimit::throughput(const Step& step) {
--- a/src/admission/server_gate.cpp
+++ b/src/admission/server_gate.cpp
@@ -7,13 +7,13 @@
 namespace anisehold::admission {
 namespace {
 
-/// Calls that may wait whatever the limit. Chosen, not measured.
+/// Minimum queue capacity, whatever the limit.
 constexpr std::size_t kMinQueueCapacity = 16;
 constexpr unsigned kLowestPriority = 9;
-/// Weight of a new sample in the moving means, as a divisor. Chosen, not measured.
+/// A new sample has the weight 1 / kAverageDivisor in the moving means.
 constexpr int kAverageDivisor = 16;
-/// A call is only started if it has this many mean service times left: one that runs out of time on the
-/// way is wasted. Chosen, not measured.
+/// A call is only started if its remaining time is at least this many mean service times: the work for a call
+/// that times out is wasted.
 constexpr double kRunMargin = 1.5;
 
 Duration moving_average(Duration average, Duration sample) {
@@ -31,7 +31,7 @@
 ArrivalDecision ServerGate::arrive(TimePoint now, const GateCall& call) {
     ArrivalDecision decision;
     const Waiting newcomer{call, now};
-    if (runs_at_once(now, call)) {
+    if (starts_at_once(now, call)) {
         start(now, call);
         return decision;
     }
@@ -52,7 +52,7 @@
         }
         const auto worst =
             std::max_element(queue_.begin(), queue_.end(),
-                             [&](const auto& left, const auto& right) { return goes_before(left, right); });
+                             [&](const auto& left, const auto& right) { return precedes(left, right); });
         decision.evicted = worst->call.id;
         queue_.erase(worst);
     }
@@ -69,31 +69,31 @@
         return {};
     }
     const Duration held = now - found->second.started;
-    const Duration own = std::max<Duration>(held - nested_time, Duration::zero());
+    const Duration own_time = std::max<Duration>(held - nested_time, Duration::zero());
     --running_by_row_[found->second.row];
     const unsigned in_flight = found->second.in_flight;
     running_.erase(found);
     if (outcome == SampleOutcome::kCompleted) {
-        service_time_ = moving_average(service_time_, own);
+        service_time_ = moving_average(service_time_, own_time);
         hold_time_ = moving_average(hold_time_, held);
     }
-    limit_->on_sample(now, Sample{outcome, own, in_flight});
+    limit_->on_sample(now, Sample{outcome, own_time, in_flight});
     return admit_waiting(now);
 }
 
 std::vector<std::uint64_t> ServerGate::admit_waiting(TimePoint now) {
     std::vector<std::uint64_t> admitted;
-    bool found_one = true;
-    while (found_one) {
+    bool has_found = true;
+    while (has_found) {
         auto best = queue_.end();
         for (auto each = queue_.begin(); each != queue_.end(); ++each) {
-            const bool better = best == queue_.end() || goes_before(*each, *best);
+            const bool better = best == queue_.end() || precedes(*each, *best);
             if (better && has_slot_for(each->call) && rate_.may_send(now)) {
                 best = each;
             }
         }
-        found_one = best != queue_.end();
-        if (found_one) {
+        has_found = best != queue_.end();
+        if (has_found) {
             admitted.push_back(best->call.id);
             start(now, best->call);
             queue_.erase(best);
@@ -130,8 +130,8 @@
     return worst;
 }
 
-bool ServerGate::runs_at_once(TimePoint now, const GateCall& call) const {
-    // Without a rate no waiting call has a slot: each end of a call admits all that have.
+bool ServerGate::starts_at_once(TimePoint now, const GateCall& call) const {
+    // Without a rate limit no waiting call has a slot, since finish() starts all waiting calls that have one.
     return has_slot_for(call) && (!rate_.limit() || (queue_.empty() && rate_.may_send(now)));
 }
 
@@ -146,7 +146,7 @@
     return of_row == running_by_row_.end() || of_row->second < call.row_limit;
 }
 
-bool ServerGate::goes_before(const Waiting& left, const Waiting& right) const {
+bool ServerGate::precedes(const Waiting& left, const Waiting& right) const {
     if (!options_.by_priority) {
         return left.arrived < right.arrived;
     }
@@ -165,7 +165,7 @@
 void ServerGate::start(TimePoint now, const GateCall& call) {
     rate_.on_sent(now);
     double& pass = passes_[call.row];
-    // A row that was idle doesn't come with credit from that time.
+    // A row gains no credit while idle.
     pass = std::max(pass, current_pass_) + 1.0 / call.row_weight;
     current_pass_ = std::max(current_pass_, pass - 1.0 / call.row_weight);
     ++running_by_row_[call.row];
@@ -174,9 +174,8 @@
 }
 
 std::size_t ServerGate::position_of(const Waiting& newcomer) const {
-    return static_cast<std::size_t>(std::count_if(queue_.begin(), queue_.end(), [&](const Waiting& waiting) {
-        return !goes_before(newcomer, waiting);
-    }));
+    return static_cast<std::size_t>(std::count_if(
+        queue_.begin(), queue_.end(), [&](const Waiting& waiting) { return !precedes(newcomer, waiting); }));
 }
 
 std::size_t ServerGate::queue_capacity() const {
--- a/src/admission/server_gate.hpp
+++ b/src/admission/server_gate.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// The gate of one server: which calls run there now, which wait, and which are refused.
+/// The gate of one server decides which calls run at the server, which wait and which are rejected.
 ///
-/// All calls to a server pass its one gate, so it counts what is in flight exactly. It owns that count, the
-/// queue, the server's rate (server_rate) and its mean times; the limit comes from a ConcurrencyLimit. It
-/// relies on its caller for the clock, and to end or abandon each call once. Pure.
+/// All calls to a server pass through its single gate, which therefore has an exact count of the calls in
+/// flight. The gate owns this count, the queue, the server's rate limit (server_rate) and the mean service
+/// times; a ConcurrencyLimit provides the concurrency limit. The caller provides the clock, and must finish
+/// or abandon each call exactly once. Pure.
 #pragma once
 
 #include <cstdint>
@@ -20,31 +21,31 @@
 
 namespace anisehold::admission {
 
-/// What the gate needs to know of a call. The sidecar sets id, priority, root_started and deadline; rows with
-/// a weight and a limit, and calls in progress, are those of `anisehold serve`.
+/// The properties of a call that the gate uses. The sidecar sets id, priority, root_started, deadline and
+/// latest_start; the other fields are used by `anisehold serve`.
 struct GateCall {
     std::uint64_t id = 0;           ///< Unique in this process.
     unsigned priority = 0;          ///< 0 is the most important.
-    bool root_in_progress = false;  ///< Work has been done for its root already.
+    bool root_in_progress = false;  ///< Earlier calls for the same root request have been served.
     std::string row;                ///< Table row; calls of one row share its weight and limit.
     unsigned row_weight = 1;
-    unsigned row_limit = 0;  ///< Most calls of the row in flight at this server; 0 for no limit.
-    TimePoint root_started;  ///< As far as this daemon knows.
+    unsigned row_limit = 0;  ///< Maximum calls of the row in flight at this server; 0 for no limit.
+    TimePoint root_started;  ///< Start time of the root request as known to this daemon.
     TimePoint deadline;
-    TimePoint latest_start = TimePoint::max();  ///< Its caller doesn't wait longer at this gate.
+    TimePoint latest_start = TimePoint::max();  ///< The caller stops waiting at this gate at this time.
 };
 
-/// kRefused: overloaded.
+/// Decision on an arriving call; kRefused means that the server is overloaded.
 enum class GateVerdict { kAdmitted, kQueued, kRefused };
 
 struct ArrivalDecision {
     GateVerdict verdict = GateVerdict::kAdmitted;
-    Duration retry_after{};                ///< When refused: when a slot is expected to be free.
-    std::optional<std::uint64_t> evicted;  ///< A waiting call that is refused in favour of this one.
-    TimePoint give_up_at;                  ///< When queued: latest moment at which it is still worth running.
+    Duration retry_after{};                ///< If refused: expected time until a slot is free.
+    std::optional<std::uint64_t> evicted;  ///< Waiting call refused in favor of this one.
+    TimePoint give_up_at;                  ///< If queued: latest start that can meet the deadline.
 };
 
-/// A snapshot for reports and status pages.
+/// Snapshot of the gate for reports and status pages.
 struct GateLoad {
     unsigned in_flight = 0;
     unsigned queued = 0;
@@ -52,46 +53,47 @@
 };
 
 struct GateOptions {
-    bool by_priority = true;  ///< Off only in the lab: first come, first served.
-    /// Most calls that wait, as a multiple of the limit; at least 16 may. Chosen, not measured.
+    bool by_priority = true;  ///< False makes the queue first-in, first-out; only the lab does so.
+    /// Maximum queue length as a multiple of the limit; at least 16 calls may wait.
     double queue_per_limit = 4;
 };
 
-/// Decides which calls run at one server.
+/// Admission control for one server.
 ///
-/// A call that comes is admitted if fewer run than the limit, and fewer of its row than the row's, and the
-/// server's rate allows one more. Else it is refused at once if it isn't expected to be served before its
-/// deadline, or to be due by the rate while its caller waits; else it waits. If the queue is full, the last
-/// in order is refused in favour of a better one. The order: priority, then calls whose root has had work
-/// done, then rows by weight (stride scheduling), then the oldest root.
+/// An arriving call is admitted if the concurrency limit, the limit of its row and the server's rate all
+/// allow one more call. Otherwise the call is refused at once if its expected start is too late for its
+/// deadline, or if the server's rate doesn't allow the call before its caller stops waiting; else the call is
+/// queued. If the queue is full, the last call in order is refused in favor of one with precedence. Calls are
+/// ordered by priority, then calls of root requests in progress, then rows by weight (stride scheduling),
+/// then the oldest root request.
 class ServerGate {
   public:
     ServerGate(std::unique_ptr<ConcurrencyLimit> limit, GateOptions options);
 
-    /// A call came: whether it runs now, waits or is refused.
+    /// Admits, queues or refuses an arriving call.
     ArrivalDecision arrive(TimePoint now, const GateCall& call);
-    /// Ends a dispatched call. Returns the waiting calls that run now.
+    /// Ends a dispatched call; returns the ids of the waiting calls that start now.
     std::vector<std::uint64_t> finish(TimePoint now, std::uint64_t id, SampleOutcome outcome,
                                       Duration nested_time);
-    /// Starts the waiting calls that the server's rate lets run now; returns their ids.
+    /// Starts the waiting calls that have a slot and that the server's rate allows now; returns their ids.
     std::vector<std::uint64_t> release(TimePoint now) { return admit_waiting(now); }
-    /// When the next waiting call is due; nothing if none waits for the rate alone.
+    /// Time at which the rate allows the next waiting call; empty unless a call waits for the rate alone.
     std::optional<TimePoint> next_release(TimePoint now) const;
-    /// Takes a waiting call out (its caller has gone or its time is up).
+    /// Removes a waiting call whose caller has left or whose time is up.
     void abandon(std::uint64_t id);
 
     GateLoad load() const;
-    /// Most calls that run at the same time under both limits: the slots, and the rate with the time that a
-    /// call takes.
+    /// Maximum concurrency under both limits: the number of slots, and the server's rate times the time that
+    /// a call holds a slot.
     unsigned usable_limit(TimePoint now) const;
-    /// Whether calls wait, or are refused, because of the server's rate: slots are free.
+    /// Whether slots are free, so that calls wait or are refused because of the server's rate alone.
     bool is_rate_limited() const { return rate_.limit() && running_.size() < limit_->limit(); }
-    /// The rate that the server takes, as far as its answers name one.
+    /// The server's rate limit, as named in its responses.
     ServerRate& rate() { return rate_; }
     const ServerRate& rate() const { return rate_; }
-    /// The least important priority that would not be refused now.
+    /// The least important priority that is currently admitted or queued.
     unsigned admitted_priority() const;
-    /// Replaces the limit strategy, keeping all calls.
+    /// Replaces the limit strategy; running and waiting calls are kept.
     void set_limit(std::unique_ptr<ConcurrencyLimit> limit) { limit_ = std::move(limit); }
 
   private:
@@ -106,11 +108,12 @@
     };
 
     bool has_slot_for(const GateCall& call) const;
-    /// A waiting call may be due that nobody has released yet: it goes first.
-    bool runs_at_once(TimePoint now, const GateCall& call) const;
-    bool goes_before(const Waiting& left, const Waiting& right) const;
+    /// Whether the call starts without queuing. A waiting call that the rate allows but that has not been
+    /// released yet takes precedence.
+    bool starts_at_once(TimePoint now, const GateCall& call) const;
+    bool precedes(const Waiting& left, const Waiting& right) const;
     void start(TimePoint now, const GateCall& call);
-    /// Starts all waiting calls that have a slot, the first in order first; returns their ids.
+    /// Starts the waiting calls that have a slot, in order; returns their ids.
     std::vector<std::uint64_t> admit_waiting(TimePoint now);
     std::size_t position_of(const Waiting& newcomer) const;
     std::size_t queue_capacity() const;
@@ -124,10 +127,11 @@
     std::vector<Waiting> queue_;
     std::unordered_map<std::uint64_t, Running> running_;
     std::map<std::string, unsigned> running_by_row_;
-    std::map<std::string, double> passes_;  // Stride scheduling: work given to each row over its weight.
+    std::map<std::string, double>
+        passes_;  // Stride scheduling: number of started calls of each row over the row's weight.
     double current_pass_ = 0;
-    Duration service_time_{};  // Moving mean of completed calls, without the calls nested in them.
-    Duration hold_time_{};     // Like service_time_, nested calls included: how long a slot is taken.
+    Duration service_time_{};  // Moving mean of the time of completed calls, without nested calls.
+    Duration hold_time_{};     // Moving mean including nested calls: how long a call holds a slot.
 };
 
 }  // namespace anisehold::admission
--- a/src/admission/server_rate.cpp
+++ b/src/admission/server_rate.cpp
@@ -6,14 +6,15 @@
 namespace anisehold::admission {
 namespace {
 
-/// Requests that may come at once are those of this time: it evens out random arrivals, and adds a sixteenth
-/// to what the server gets in four seconds.
+/// Burst size of the token bucket, in seconds of the rate. The burst evens out random arrivals and adds a
+/// sixteenth to the requests that the server receives in four seconds.
 constexpr double kBurstS = 0.25;
-/// Whole requests are sent, also where the limit allows less than one in `kBurstS`.
+/// Minimum burst of one request, for rates that allow less than one in `kBurstS`.
 constexpr double kMinBurst = 1;
-/// One request in four seconds is sent whatever the limit: without an answer its end would never be known.
+/// Minimum rate of one request in four seconds, whatever the limit: without a response the end of the limit
+/// would go unnoticed.
 constexpr double kMinRatePerS = 0.25;
-/// A limit that nothing has confirmed for this time doesn't keep callers away any more.
+/// A limit that neither a response nor a refusal has confirmed for this time no longer keeps callers away.
 constexpr milliseconds kConfirmationLifetime{1'000};
 
 double seconds_of(Duration duration) {
@@ -31,7 +32,7 @@
     return std::min(max_tokens, tokens_ + rate_per_s() * seconds_of(now - refilled_at_));
 }
 
-RateChange ServerRate::take(TimePoint now, RequestRate rate) {
+RateChange ServerRate::apply_limit(TimePoint now, RequestRate rate) {
     last_named_ = now;
     confirmed_ = now;
     if (limit_ == rate) {
@@ -47,7 +48,7 @@
 RateChange ServerRate::on_answer(TimePoint now, TimePoint sent, std::optional<RequestRate> named) {
     has_answered_ = true;
     if (named) {
-        return take(now, *named);
+        return apply_limit(now, *named);
     }
     if (!limit_ || sent < last_named_) {
         return RateChange::kNone;
@@ -57,7 +58,7 @@
 }
 
 RateChange ServerRate::on_report(TimePoint now, RequestRate reported) {
-    return has_answered_ || limit_ ? RateChange::kNone : take(now, reported);
+    return has_answered_ || limit_ ? RateChange::kNone : apply_limit(now, reported);
 }
 
 Duration ServerRate::wait(TimePoint now, std::size_t before) const {
--- a/tests/unit/admission/origin_estimator_test.cpp
+++ b/tests/unit/admission/origin_estimator_test.cpp
@@ -10,8 +10,8 @@
 
 const TimePoint kStart = TimePoint() + seconds(100);
 
-/// Plays a server that is idle in part of the time, with calls of its own while it is busy.
-void play(OriginEstimator& estimator, double idle_share, int steps) {
+/// Simulates a server that is idle for part of the time and makes calls while busy.
+void simulate(OriginEstimator& estimator, double idle_share, int steps) {
     std::mt19937 random(3);
     std::uniform_real_distribution<double> unit(0.0, 1.0);
     TimePoint now = kStart;
@@ -31,24 +31,24 @@
 
 }  // namespace
 
-TEST_CASE("routes of clients are told from routes of servers") {
+TEST_CASE("client routes are distinguished from server routes") {
     OriginEstimator estimator;
-    play(estimator, 0.05, 1'000);
+    simulate(estimator, 0.05, 1'000);
     CHECK(estimator.is_called_by_clients("client"));
     CHECK_FALSE(estimator.is_called_by_clients("nested"));
     CHECK(estimator.own_verdicts() == std::vector<std::string>{"client"});
 }
 
-TEST_CASE("without idle time there is no verdict") {
+TEST_CASE("no verdict is given without idle time") {
     OriginEstimator estimator;
-    play(estimator, 0.0, 1'000);
+    simulate(estimator, 0.0, 1'000);
     CHECK_FALSE(estimator.is_called_by_clients("client"));
     CHECK(estimator.own_verdicts().empty());
 }
 
-TEST_CASE("a few calls of a server that was given up make no client route") {
+TEST_CASE("a few calls for an abandoned request don't make a route a client route") {
     OriginEstimator estimator;
-    play(estimator, 0.3, 1'000);
+    simulate(estimator, 0.3, 1'000);
     estimator.on_server(kStart + seconds(60), false);
     for (int call = 0; call < 3; ++call) {
         estimator.on_request(kStart + seconds(60), "nested");
@@ -56,7 +56,7 @@
     CHECK_FALSE(estimator.is_called_by_clients("nested"));
 }
 
-TEST_CASE("a peer's verdict counts") {
+TEST_CASE("a peer's verdict is adopted") {
     OriginEstimator estimator;
     CHECK_FALSE(estimator.is_called_by_clients("r"));
     estimator.on_peer_verdict({"r"});
--- a/tests/unit/admission/server_gate_test.cpp
+++ b/tests/unit/admission/server_gate_test.cpp
@@ -40,7 +40,7 @@
     CHECK(gate.finish(at_ms(10), 99, SampleOutcome::kCompleted, {}).empty());
 }
 
-TEST_CASE("the queue is left by priority, then calls in progress, then the oldest root") {
+TEST_CASE("calls leave the queue by priority, then root in progress, then oldest root") {
     auto gate = gate_of(1);
     gate.arrive(at_ms(0), call(1, 5));
     auto young = call(2, 3);
@@ -85,7 +85,7 @@
     CHECK(heavy_runs <= 7);
 }
 
-TEST_CASE("a full queue refuses the least important, and evicts it for a more important call") {
+TEST_CASE("a full queue refuses the least important call or evicts it for a more important one") {
     auto gate = gate_of(1);
     gate.arrive(at_ms(0), call(1, 5));
     std::uint64_t id = 2;
@@ -111,7 +111,7 @@
     CHECK(decision.retry_after >= milliseconds(100));
 }
 
-TEST_CASE("a row's own limit holds while other rows go on") {
+TEST_CASE("the limit of a row doesn't hold back other rows") {
     auto gate = gate_of(4);
     auto limited = call(1, 5, "limited");
     limited.row_limit = 1;
--- a/tests/unit/admission/server_rate_test.cpp
+++ b/tests/unit/admission/server_rate_test.cpp
@@ -21,22 +21,22 @@
     return RequestRate(static_cast<std::uint32_t>(per_s * 1'000));
 }
 
-/// Requests in any window of four seconds beyond which a limit is broken.
-double allowed_by(double per_s) {
+/// Maximum number of requests in any window of four seconds that counts as within the limit.
+double max_allowed(double per_s) {
     return 1.5 * kWindowS * per_s + 5;
 }
 
-/// Most of the moments, in milliseconds and in order, that lie in one window of four seconds.
-std::size_t most_in_window(const std::vector<long long>& moments) {
-    std::size_t most = 0;
+/// Maximum number of the times (milliseconds, ascending) within one window of four seconds.
+std::size_t max_in_window(const std::vector<long long>& times) {
+    std::size_t highest = 0;
     std::size_t first = 0;
-    for (std::size_t last = 0; last < moments.size(); ++last) {
-        while (moments[last] - moments[first] >= 4'000) {
+    for (std::size_t last = 0; last < times.size(); ++last) {
+        while (times[last] - times[first] >= 4'000) {
             ++first;
         }
-        most = std::max(most, last - first + 1);
+        highest = std::max(highest, last - first + 1);
     }
-    return most;
+    return highest;
 }
 
 GateCall call(std::uint64_t id, long long ms, unsigned priority = 1) {
@@ -64,13 +64,13 @@
     CHECK_FALSE(rate.concurrency(at_ms(0), milliseconds(100)));
 }
 
-TEST_CASE("a limit holds in every window, and is used up") {
+TEST_CASE("a rate limit holds in every window and is fully used") {
     const double per_s = GENERATE(0.5, 1.0, 11.5, 100.0);
     CAPTURE(per_s);
     ServerRate rate;
     CHECK(rate.on_answer(at_ms(0), at_ms(0), rate_of(per_s)) == RateChange::kStarted);
     std::vector<long long> sent;
-    // Calm until 20 s: what is saved up meanwhile must not be let go at once.
+    // Low load until 20 s: tokens saved up meanwhile must not be spent at once.
     for (long long ms = 0; ms < 60'000; ms += 2) {
         const auto now = at_ms(ms);
         if ((ms < 5'000 || ms > 20'000) && rate.may_send(now)) {
@@ -78,11 +78,11 @@
             sent.push_back(ms);
         }
     }
-    CHECK(static_cast<double>(most_in_window(sent)) <= allowed_by(per_s));
+    CHECK(static_cast<double>(max_in_window(sent)) <= max_allowed(per_s));
     CHECK(static_cast<double>(sent.size()) >= 0.95 * per_s * 45);
 }
 
-TEST_CASE("a limit of nothing lets one request through now and then, to learn of its end") {
+TEST_CASE("a rate limit of zero admits occasional requests to detect its end") {
     ServerRate rate;
     rate.on_answer(at_ms(0), at_ms(0), rate_of(0));
     unsigned sent = 0;
@@ -96,7 +96,7 @@
     CHECK(sent <= 11);
 }
 
-TEST_CASE("an answer without a limit ends it, unless it was overtaken by the one that named it") {
+TEST_CASE("a response without a limit ends the limit unless written before the limit was named") {
     ServerRate rate;
     rate.on_answer(at_ms(100), at_ms(0), rate_of(5));
     CHECK(rate.on_answer(at_ms(110), at_ms(50), std::nullopt) == RateChange::kNone);
@@ -108,7 +108,7 @@
     CHECK(rate.age(at_ms(250)) == milliseconds(30));
 }
 
-TEST_CASE("what callers report counts until the server has answered") {
+TEST_CASE("reports of callers are used until the server has responded") {
     ServerRate rate;
     CHECK(rate.on_report(at_ms(0), rate_of(5)) == RateChange::kStarted);
     CHECK(rate.on_report(at_ms(1), rate_of(50)) == RateChange::kNone);
@@ -117,7 +117,7 @@
     CHECK(rate.may_send(at_ms(101)));
 }
 
-TEST_CASE("callers are kept away by a limit only while it is confirmed") {
+TEST_CASE("a limit keeps callers away only while it is confirmed") {
     ServerRate rate;
     rate.on_answer(at_ms(0), at_ms(0), rate_of(20));
     CHECK(rate.concurrency(at_ms(500), milliseconds(200)) == 4U);
@@ -126,7 +126,7 @@
     CHECK(rate.concurrency(at_ms(1'600), milliseconds(200)) == 4U);
 }
 
-TEST_CASE("a gate sends no more than its server's rate, the most important first") {
+TEST_CASE("a gate sends at most the server's rate, most important calls first") {
     auto gate = limited_gate(16, 5);
     CHECK(gate.arrive(at_ms(0), call(1, 0)).verdict == GateVerdict::kAdmitted);
     CHECK(gate.arrive(at_ms(0), call(2, 0, 3)).verdict == GateVerdict::kQueued);
@@ -141,7 +141,7 @@
     CHECK_FALSE(gate.next_release(at_ms(400)));
 }
 
-TEST_CASE("a call that isn't due by the rate while its caller waits is refused at once") {
+TEST_CASE("a call that the rate doesn't allow before its caller stops waiting is refused at once") {
     auto gate = limited_gate(16, 5);
     gate.arrive(at_ms(0), call(1, 0));
     CHECK(gate.arrive(at_ms(0), call(2, 0)).verdict == GateVerdict::kQueued);
@@ -151,7 +151,7 @@
     CHECK(refused.retry_after >= milliseconds(600));
 }
 
-TEST_CASE("a queue that a frozen daemon finds due doesn't go at once") {
+TEST_CASE("after a suspended daemon resumes, its queue isn't released all at once") {
     auto gate = limited_gate(16, 5);
     gate.arrive(at_ms(0), call(1, 0));
     for (std::uint64_t id = 2; id < 10; ++id) {
@@ -163,7 +163,7 @@
     CHECK(gate.release(at_ms(30'000)).size() <= 2);
 }
 
-TEST_CASE("the end of a limit lets the waiting calls run") {
+TEST_CASE("the end of a rate limit starts the waiting calls") {
     auto gate = limited_gate(16, 5);
     gate.arrive(at_ms(0), call(1, 0));
     gate.arrive(at_ms(0), call(2, 0));
