--- a/src/selection/failure_share.hpp
+++ b/src/selection/failure_share.hpp
@@ -1,4 +1,5 @@
-/** A share of failures that follows the latest results and fades without any. Pure. */
+/** Moving share of failed results. Each result is weighted in, and the share decays exponentially without
+    new results. Pure. */
 #pragma once
 
 #include <cmath>
@@ -8,25 +9,25 @@
 namespace anisehold::selection
 {
 
-/** The share, from 0 to 1, as of `updated`. */
+/** A share from 0 to 1 as of `updated`. */
 struct FailureShare
 {
     double share = 0;
     TimePoint updated;
 };
 
-/** Failures fade to half in this time without a new result, in seconds. Mean worth of 15 days 0.528 with 1.5,
-    0.525 with 2 (docs/design/overload.md, round "fade"). */
+/** Half-life of the share of failures without a new result, in seconds. The mean score of 15 days was
+    0.528 with 1.5 s and 0.525 with 2 s. */
 inline constexpr double failureHalfLifeS = 1.5;
 
-/** The share as of `now`. */
+/** Returns the share decayed to `now`. */
 inline double currentShare (const FailureShare& failures, TimePoint now)
 {
     const std::chrono::duration<double> age = now - failures.updated;
     return failures.share * std::exp2 (-age.count() / failureHalfLifeS);
 }
 
-/** Takes in one result; `weight`, from 0 to 1, says how much it counts. */
+/** Adds one result with the given weight, from 0 to 1. */
 inline void recordResult (FailureShare& failures, TimePoint now, bool failed, double weight)
 {
     const double before = currentShare (failures, now);
--- a/src/selection/return_trial.hpp
+++ b/src/selection/return_trial.hpp
@@ -1,12 +1,13 @@
-/** Brings a server back that a daemon passes over because it saw it fail.
+/** Schedules trial requests to servers that a daemon avoids after failures.
 
-    While a server gets no requests, nothing new is learned of it: its failures fade, but its last latency
-   stays, and by both together it could stay too dear for as long as others have free slots. So one request
-   that may be repeated goes to it at a set time after its last failure, whatever it is expected to cost; a
-   success ends that, a failure begins the time anew. One at a time, since all would return together once the
-   failures have faded.
+    A server without requests yields no new measurements: its share of failures decays, but its last latency
+    doesn't, and both together could keep its expected cost too high for as long as other servers have free
+    slots. So one repeatable request is sent to the server at a fixed time after its last failure, whatever
+    its expected cost; a success ends the trials, a failure restarts the interval. Only one trial is in flight
+    at a time: without this limit all requests would return together once the share of failures has decayed.
 
-    Owns nothing: whoever chooses servers keeps ReturnTrials and notes the ends of requests. Pure.
+    Owns no state: the caller that selects servers keeps ReturnTrials and records the results of requests.
+    Pure.
 */
 #pragma once
 
@@ -19,18 +20,19 @@
 namespace anisehold::selection
 {
 
-/** When the next trial of each server is due that failed last, by instance. */
+/** Time of the next trial of each server whose last request failed, by instance. */
 using ReturnTrials = std::unordered_map<std::string, TimePoint>;
 
-/** Time from a failure, or from a trial whose end isn't known yet, to the next trial. */
+/** Time from a failure, or from a trial without a result yet, to the next trial. */
 inline constexpr milliseconds trialInterval{ 3'000 };
-/** A trial that found no server for so long is given up: the server has left the fleet. */
+/** A trial that is overdue for this time without a matching server is discarded: the server has left the
+    fleet. */
 inline constexpr milliseconds trialExpiry{ 60'000 };
 
-/** Records the end of a request at the server. */
+/** Records the result of a request to the server. */
 void recordTrialResult (ReturnTrials&, TimePoint now, const std::string& instance, bool failed);
 
-/** A server of the view whose trial is due; its next one is put off. Null if none is. */
+/** Returns a server of the view whose trial is due, and schedules its next trial; null if none is due. */
 const membership::KnownServer* startDueTrial (ReturnTrials&, TimePoint now, const membership::ServiceView&);
 
 } // namespace anisehold::selection
--- a/src/selection/server_selection.cpp
+++ b/src/selection/server_selection.cpp
@@ -11,36 +11,38 @@
 using membership::KnownServer;
 using membership::ServiceView;
 
-/** Taken for the mean latency, in microseconds, if no server was measured. */
+/** Mean latency assumed if no server's latency was measured, in microseconds. */
 constexpr double defaultLatencyUs = 100'000;
-/** Factor of the cost in another zone: its bytes are dear and its way is longer. */
+/** Cost factor of servers in other zones: traffic there costs more and takes longer. */
 constexpr double remoteZoneFactor = 2.5;
-/** Factor of the cost of a server that is still cold. */
+/** Cost factor of a server that is still cold. */
 constexpr double coldFactor = 2.0;
-/** A failure costs this many times the mean latency. */
+/** Cost of a failed request, as a multiple of the mean latency. */
 constexpr double failureWeight = 30.0;
 /** Weight of the newest result in the moving share of failures. */
 constexpr double failureSample = 0.4;
-/** A server's own gate sees all of its requests; a share of failures below this is ordinary. */
+/** Share of failures that is normal for a server and adds no cost. Applies to the share that the server's
+    gate reports, which covers all of the server's requests. */
 constexpr double toleratedShare = 0.1;
 constexpr double shareOfPercent = 0.01;
-/** A share of failures below this is forgotten. */
+/** A lower share of failures is discarded. */
 constexpr double negligibleShare = 0.01;
-/** How steeply the cost rises as the server fills. */
+/** Weight of a server's load in its cost. */
 constexpr double loadWeight = 6.0;
-/** A usual server that is fuller than that, or fails more often, is compared with others: before it queues,
-    and from the first failure that this daemon sees on. */
+/** Load and share of failures from which a chosen server is compared with others: before the server has to
+    queue requests, and from the first failure that this daemon observes. */
 constexpr double fullShare = 0.75;
 constexpr double highFailureShare = 0.1;
-/** How often a few of all servers are drawn while the cheapest is doubtful: where a quarter of them fail, one
-    in ten thousand requests finds only such; worked out. */
+/** Maximum draws from all servers while the cheapest candidate is overloaded or failing. If a quarter of
+    all servers fail, one in ten thousand requests draws only failing servers. */
 constexpr int maxFallbackDraws = 3;
-/** Servers that are looked at in the own zone, and in the others: power of two choices. */
+/** Candidates drawn from the local zone, and from the other zones: power of two choices. */
 constexpr std::size_t candidatesPerDraw = 2;
 
 using Candidates = std::vector<const KnownServer*>;
 
-/** What this daemon saw itself, or what the server's gate reports, whichever is worse. */
+/** Returns the greater of the share of failures that this daemon observed and the one that the server's
+    gate reports. */
 double failureShare (const SelectionState& state, TimePoint now, const membership::ServerRecord& server)
 {
     if (! state.rules.avoidsFailing)
@@ -51,13 +53,13 @@
     return std::max (seen, shareOfPercent * server.failed_percent - toleratedShare);
 }
 
-/** The scale of a failure's cost: the mean latency of the service's servers, in microseconds. */
+/** Returns the scale of a failure's cost: the mean latency of the service's servers, in microseconds. */
 double failureScaleUs (const ServiceView& view)
 {
     return view.mean_latency_us > 0 ? view.mean_latency_us : defaultLatencyUs;
 }
 
-/** Adds up to `candidatesPerDraw` random ones of the first `size` candidates to `drawn`. */
+/** Appends up to `candidatesPerDraw` of the first `size` candidates to `drawn`, chosen at random. */
 void drawSome (const Candidates& candidates, std::size_t size, const UnitRandom& random, Candidates& drawn)
 {
     if (size <= candidatesPerDraw)
@@ -95,7 +97,7 @@
     return others;
 }
 
-/** A few of the usual servers, and the one beside this daemon: no other is nearer. */
+/** Draws some of the preferred servers, and adds the local server, which is always the nearest. */
 Candidates drawPreferred (const ServiceView& view, const UnitRandom& random)
 {
     Candidates drawn;
@@ -109,7 +111,7 @@
     return drawn;
 }
 
-/** A few of all servers that weren't tried. */
+/** Draws some of all servers that were not tried yet. */
 Candidates drawAny (const ServiceView& view, const std::vector<std::string>& tried, const UnitRandom& random)
 {
     Candidates drawn;
@@ -136,8 +138,8 @@
     return (busy + 1.0) / std::max (1U, server.limit);
 }
 
-/** Whether a server is so full, or fails so often, that others are looked for; or lies in another zone,
-    though the own one may have others with free slots. */
+/** Whether to compare the server with alternatives: it is nearly full, fails often, or is in another zone
+    although the local zone has further servers that may have free slots. */
 bool needsAlternatives (const SelectionState& state, TimePoint now, const ServiceView& view,
                         const KnownServer& known)
 {
@@ -225,7 +227,7 @@
     const double meanUs = failureScaleUs (view);
     const KnownServer* best = nullptr;
     double lowestCost = std::numeric_limits<double>::max();
-    const auto takeCheapest = [&] (const Candidates& drawn)
+    const auto updateCheapest = [&] (const Candidates& drawn)
     {
         for (const auto* it : drawn)
         {
@@ -240,11 +242,11 @@
     };
 
     if (tried.empty() && state.rules.usesPreferredServers)
-        takeCheapest (drawPreferred (view, random));
+        updateCheapest (drawPreferred (view, random));
 
     for (int n = 0; n < maxFallbackDraws && (best == nullptr || needsAlternatives (state, now, view, *best));
          ++n)
-        takeCheapest (drawAny (view, tried, random));
+        updateCheapest (drawAny (view, tried, random));
 
     return best;
 }
--- a/src/selection/server_selection.hpp
+++ b/src/selection/server_selection.hpp
@@ -1,14 +1,15 @@
-/** The choice of a server by what is known of its load, latency, zone and recent failures.
+/** Selects a server for a request by expected cost, from load, latency, zone and recent failures.
 
-    Owns what this daemon has seen itself of servers (SelectionState). Relies on the view of a service
-    (membership/peer_directory): the servers that are known, near ones and far ones, this daemon's usual ones
-    first, with the load that their gates reported. Suspects don't come here (suspects/suspect_server).
+    Owns what this daemon has observed of servers itself (SelectionState). Relies on the view of a service
+    (membership/peer_directory): the known servers of the local zone and of other zones, each list with this
+    daemon's preferred servers first, with the load that their gates reported. Suspect requests are routed
+    elsewhere (suspects/suspect_server).
 
-    Few usual servers, since connections are then few and warm: with draws from all 295 servers of a fleet a
-    calm day's play took 70.6 s, with six usual ones of the own zone and three of others 62.4 s (one run
-    each).
+    A daemon prefers few servers, which keeps connections few and warm: with draws from all 295 servers of a
+    fleet one simulated day took 70.6 s, with six preferred servers of the local zone and three of other zones
+    62.4 s.
 
-    Plain state and free functions over it. Pure.
+    Plain state and free functions. Pure.
 */
 #pragma once
 
@@ -24,10 +25,10 @@
 namespace anisehold::selection
 {
 
-/** Returns a number in [0, 1). */
+/** Returns a random number in [0, 1). */
 using UnitRandom = std::function<double()>;
 
-/** What counts in the choice. All does, but in the lab. */
+/** Criteria of the selection. All are on, except in the lab. */
 struct SelectionRules
 {
     bool usesPreferredServers = true;
@@ -36,60 +37,63 @@
     bool avoidsFailing = true;
 };
 
-/** What one daemon has seen of servers itself, by instance. */
+/** One daemon's own observations of servers, by instance. */
 struct SelectionState
 {
     std::string ownZone;
-    std::unordered_map<std::string, unsigned>
-        inFlight; /**< Requests that this daemon has sent and not seen end. */
+    std::unordered_map<std::string, unsigned> inFlight; /**< Requests of this daemon that are in flight. */
     std::unordered_map<std::string, FailureShare> failures;
     SelectionRules rules{};
 };
 
-/** Records that a request goes to the server. */
+/** Records that a request was sent to the server. */
 void recordSent (SelectionState&, const std::string& instance);
 
-/** How the sending of a request to a server ended. */
+/** Result of one attempt to send a request to a server. */
 struct AttemptResult
 {
-    bool wasAbandoned = false; /**< By this daemon: its time was up, or another server had answered. */
-    bool serverFailed = false; /**< No whole answer came, or the server declined. */
+    bool wasAbandoned = false; /**< Given up by this daemon: timed out, or another server was faster. */
+    bool serverFailed = false; /**< No complete response, or the server refused the request. */
     Duration elapsed{};
-    Duration slowThreshold{}; /**< Time after which a silent server is slow for such a request. */
+    Duration slowThreshold{}; /**< Time after which a silent server counts as slow. */
 };
 
-/** Whether the end speaks against the server. One that was given up after a long silence does: a machine that
-    can't be reached, but can be heard, would get requests for ever. */
+/** Whether the result counts as a failure of the server. An attempt abandoned after a long time without a
+    response does; otherwise a machine that can't be reached, but whose gossip arrives, would receive
+    requests forever. */
 bool countsAsFailure (const AttemptResult&);
 
-/** Records its end. `failed`: the server gave no whole answer, or none in time. */
+/** Records the end of a request. `failed`: the server sent no complete response, or none in time. */
 void recordEnded (SelectionState&, TimePoint now, const std::string& instance, bool failed);
 
-/** Expected cost of a request there, in microseconds of the caller's time; lower is better. `meanUs`, of all
-    servers of the service, is the scale of a failure, and is taken for a server of which no answer was
-    measured. A server that fails fast must not look cheap, nor one that nobody has tried dear. */
+/** Returns the expected cost of a request to the server, in microseconds of the caller's time; lower is
+    better. `meanUs`, the mean latency over the service's servers, scales the cost of failures and stands
+    in for the latency of a server without measurements. A server that fails fast must not appear cheap,
+    nor an untried one expensive. */
 double expectedCost (const SelectionState&, TimePoint now, const membership::KnownServer&, double meanUs);
 
-/** A server that this daemon saw fail, and that wasn't chosen. */
+/** A server that was not chosen because of failures that this daemon observed. */
 struct AvoidedServer
 {
     const membership::KnownServer* server = nullptr;
-    double failures = 0;   /**< The share that counts now. */
-    double cost = 0;       /**< As `expectedCost`. */
-    double chosenCost = 0; /**< Of the server that was chosen. */
+    double failures = 0;   /**< Current share of failures. */
+    double cost = 0;       /**< As returned by `expectedCost`. */
+    double chosenCost = 0; /**< Expected cost of the chosen server. */
 };
 
-/** The servers of the view that this daemon has seen fail and that cost more than `chosen` now. */
+/** Returns the servers of the view that this daemon has seen fail and whose cost currently exceeds that of
+    `chosen`. */
 std::vector<AvoidedServer> avoidedServers (const SelectionState&, TimePoint now,
                                            const membership::ServiceView&,
                                            const membership::KnownServer& chosen);
 
-/** A server of the view that isn't in `tried`; null if there is none.
+/** Returns a server of the view that isn't in `tried`; null if there is none.
 
-    Two random ones of the own zone's usual servers, two of the others' and the one beside this daemon are
-    looked at, and the cheapest is taken. So the own zone serves its requests while it has free slots, a
-    fleet that chooses at the same time spreads, and connections stay few and warm. If the cheapest is
-    nearly full or fails, or the request was sent before, the same number of all servers is looked at too.
+    Compares two random preferred servers of the local zone, two of other zones and the local server, and
+    returns the cheapest. So the local zone serves its own requests while it has free slots, simultaneous
+    choices of a fleet spread over the servers, and connections stay few and warm. If the cheapest is nearly
+    full or failing, or the request was sent before, the same number of servers is also drawn from all
+    servers.
 */
 const membership::KnownServer* chooseServer (const SelectionState&, TimePoint now,
                                              const membership::ServiceView&,
--- a/tests/unit/selection/return_trial_test.cpp
+++ b/tests/unit/selection/return_trial_test.cpp
@@ -18,12 +18,12 @@
 
 } // namespace
 
-TEST_CASE ("a server that failed is tried once, a set time after its failure", "[selection]")
+TEST_CASE ("a failed server gets one trial request a fixed time after its failure", "[selection]")
 {
     const auto failing = server ("failing");
-    const auto sound = server ("sound");
+    const auto healthy = server ("sound");
     membership::ServiceView view;
-    view.local = { &sound };
+    view.local = { &healthy };
     view.remote = { &failing };
     ReturnTrials trials;
     const TimePoint begin{};
@@ -32,7 +32,7 @@
     recordTrialResult (trials, begin, "failing", true);
     CHECK (startDueTrial (trials, begin + trialInterval - milliseconds (1), view) == nullptr);
     CHECK (startDueTrial (trials, begin + trialInterval, view) == &failing);
-    // Others wait for what the trial shows.
+    // Only one trial is in flight at a time.
     CHECK (startDueTrial (trials, begin + trialInterval, view) == nullptr);
 
     SECTION ("a success ends the trials")
@@ -41,7 +41,7 @@
         CHECK (startDueTrial (trials, begin + 10 * trialInterval, view) == nullptr);
     }
 
-    SECTION ("a failure begins the time anew")
+    SECTION ("a failure restarts the interval")
     {
         const auto failed = begin + trialInterval + milliseconds (500);
         recordTrialResult (trials, failed, "failing", true);
@@ -49,13 +49,13 @@
         CHECK (startDueTrial (trials, failed + trialInterval, view) == &failing);
     }
 
-    SECTION ("a trial whose end isn't heard of is repeated")
+    SECTION ("a trial without a result is repeated")
     {
         CHECK (startDueTrial (trials, begin + 2 * trialInterval, view) == &failing);
     }
 }
 
-TEST_CASE ("a server that can't be reached is tried as soon as it is known again, unless that takes long",
+TEST_CASE ("an unreachable server gets its trial once it is known again, unless the trial has expired",
            "[selection]")
 {
     const auto failing = server ("failing");
--- a/tests/unit/selection/server_selection_test.cpp
+++ b/tests/unit/selection/server_selection_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr double usualUs = 100'000;
+constexpr double meanLatencyUs = 100'000;
 
 KnownServer server (const std::string& instance, const std::string& zone, unsigned inFlight,
                     unsigned latencyUs = 100'000)
@@ -55,13 +55,13 @@
         for (const auto& it : servers)
             (it.zone == state.ownZone ? view.local : view.remote).push_back (&it);
 
-        view.mean_latency_us = usualUs;
+        view.mean_latency_us = meanLatencyUs;
         view.preferred_local = std::min<std::size_t> (view.local.size(), 6);
         view.preferred_remote = std::min<std::size_t> (view.remote.size(), 3);
         return view;
     }
 
-    double cost (const KnownServer& known) const { return expectedCost (state, now, known, usualUs); }
+    double cost (const KnownServer& known) const { return expectedCost (state, now, known, meanLatencyUs); }
 };
 
 } // namespace
@@ -75,7 +75,7 @@
     CHECK_FALSE (fixture.choose ({}));
 }
 
-TEST_CASE ("of two servers the less loaded one is chosen", "[selection]")
+TEST_CASE ("the less loaded of two servers is chosen", "[selection]")
 {
     const Fixture fixture;
     const std::vector<KnownServer> servers{ server ("busy", "here", 9), server ("free", "here", 0) };
@@ -84,7 +84,7 @@
         CHECK (fixture.choose (servers)->server.instance == "free");
 }
 
-TEST_CASE ("own zone, speed, warmth and own requests under way count", "[selection]")
+TEST_CASE ("zone, latency, cold start and own requests in flight affect the cost", "[selection]")
 {
     Fixture fixture;
     const auto plain = server ("a", "here", 1);
@@ -103,7 +103,7 @@
     CHECK (fixture.cost (plain) > before);
 }
 
-TEST_CASE ("failures make a server dear, and fade", "[selection]")
+TEST_CASE ("failures raise a server's cost and decay", "[selection]")
 {
     Fixture fixture;
     const auto known = server ("a", "here", 0);
@@ -111,32 +111,31 @@
     recordSent (fixture.state, "a");
     recordEnded (fixture.state, fixture.now, "a", true);
     CHECK (fixture.cost (known) > 5 * before);
-    CHECK (expectedCost (fixture.state, fixture.now + seconds (60), known, usualUs) == Approx (before));
+    CHECK (expectedCost (fixture.state, fixture.now + seconds (60), known, meanLatencyUs) == Approx (before));
 }
 
-TEST_CASE ("a server that fails always is still chosen when it is the only one", "[selection]")
+TEST_CASE ("a server that always fails is still chosen if it is the only one", "[selection]")
 {
     Fixture fixture;
     recordEnded (fixture.state, fixture.now, "a", true);
     CHECK (fixture.choose ({ server ("a", "here", 0) }));
 }
 
-TEST_CASE ("a server whose own gate tells of failures is dear to all, an ordinary share isn't counted",
-           "[selection]")
+TEST_CASE ("failures reported by a server's gate raise its cost, unless their share is normal", "[selection]")
 {
     const Fixture fixture;
-    const auto sound = server ("a", "here", 1);
-    auto ordinary = server ("a", "here", 1);
-    ordinary.server.failed_percent = 8;
-    CHECK (fixture.cost (ordinary) == Approx (fixture.cost (sound)));
+    const auto healthy = server ("a", "here", 1);
+    auto tolerated = server ("a", "here", 1);
+    tolerated.server.failed_percent = 8;
+    CHECK (fixture.cost (tolerated) == Approx (fixture.cost (healthy)));
     auto failing = server ("a", "here", 1);
     failing.server.failed_percent = 45;
-    CHECK (fixture.cost (failing) > 5 * fixture.cost (sound));
-    // So dear that another zone is better.
+    CHECK (fixture.cost (failing) > 5 * fixture.cost (healthy));
+    // The failing server costs so much that one in another zone is preferred.
     CHECK (fixture.choose ({ failing, server ("b", "there", 1) })->server.instance == "b");
 }
 
-TEST_CASE ("the own zone serves while it has room, and another one beyond that", "[selection]")
+TEST_CASE ("the local zone is preferred until its servers are nearly full", "[selection]")
 {
     const Fixture fixture;
     const auto remote = server ("far", "there", 3);
@@ -144,8 +143,9 @@
     CHECK (fixture.choose ({ server ("near", "here", 9), remote })->server.instance == "far");
 }
 
-TEST_CASE ("a server that was given up after a long silence has failed, one that was not awaited hasn't",
-           "[selection]")
+TEST_CASE (
+    "an attempt abandoned after a long time without a response counts as a failure, an early one doesn't",
+    "[selection]")
 {
     const milliseconds slowThreshold (100);
     CHECK (countsAsFailure ({ true, true, milliseconds (2'000), slowThreshold }));
@@ -154,8 +154,7 @@
     CHECK_FALSE (countsAsFailure ({ false, false, milliseconds (2'000), slowThreshold }));
 }
 
-TEST_CASE ("a server that fails fast doesn't look cheap, and one that nobody has tried not dear",
-           "[selection]")
+TEST_CASE ("a server that fails fast doesn't appear cheap, nor an untried one expensive", "[selection]")
 {
     Fixture fixture;
     auto fastFailing = server ("a", "here", 0, 5'000);
@@ -166,7 +165,7 @@
     CHECK (fixture.choose ({ fastFailing, untried })->server.instance == "c");
 }
 
-TEST_CASE ("of many servers the usual ones are chosen while they have room", "[selection]")
+TEST_CASE ("preferred servers are chosen while they have free slots", "[selection]")
 {
     Fixture fixture;
     auto servers = manyServers (24, "here", 3);
@@ -188,11 +187,11 @@
     for (int i = 0; i < 6; ++i)
         servers[static_cast<std::size_t> (i)].server.in_flight = 9;
 
-    // The usual ones are nearly full: all of the zone are looked at.
+    // The preferred servers are nearly full, so candidates come from the whole zone.
     CHECK (countChosen() >= 18);
 }
 
-TEST_CASE ("a usual server that fails is left for any other that doesn't", "[selection]")
+TEST_CASE ("a failing preferred server is replaced by any server that doesn't fail", "[selection]")
 {
     Fixture fixture;
     auto servers = manyServers (24, "here", 3);
@@ -204,7 +203,7 @@
         CHECK (fixture.choose (servers)->server.failed_percent == 0);
 }
 
-TEST_CASE ("the server beside the daemon is always looked at", "[selection]")
+TEST_CASE ("the local server is always a candidate", "[selection]")
 {
     const Fixture fixture;
     auto servers = manyServers (24, "here", 5);
