--- a/src/overload/admitted_share.hpp
+++ b/src/overload/admitted_share.hpp
@@ -1,9 +1,10 @@
-/** The rule by which the share of a service's volume that is admitted at the edge moves, once a period.
+/** Adjusts, once per period, the share of a service's request volume that is admitted at the edge.
 
-    Inputs: the fleet's counts of calls and refusals in the period, and the utilization of the service as its
-    gates measure it. Refusals bring a limit about; from then on the share is steered so that the utilization
-    becomes `targetUtilization`, and refused calls count as utilization that is still to come. It falls all
-    the way at once, since work is wasted meanwhile, and rises slowly. Pure.
+    Inputs are the fleet's counts of calls and refusals in the period, and the utilization of the service as
+    measured by its gates. Refusals start a limit; from then on the share is controlled so that the
+    utilization approaches `targetUtilization`, with refused calls counted as additional utilization. The
+    share falls to its target at once, since excess requests waste work, and rises slowly. Owns no state;
+    updates ServiceState. Pure.
 */
 #pragma once
 
@@ -13,10 +14,10 @@
 namespace anisehold::overload
 {
 
-/** Utilization that a limited service is steered to; waiting calls aren't counted as utilization. */
+/** Target utilization of a limited service; waiting calls don't count as utilization. */
 inline constexpr double targetUtilization = 0.99;
 
-/** Moves the share by what a period of `periodS` seconds has shown. */
+/** Updates the admitted share from the measurements of a period of `periodS` seconds. */
 void updateAdmittedShare (ServiceState&, const FleetCounts&, double utilization, double periodS);
 
 } // namespace anisehold::overload
--- a/src/overload/capacity_share.cpp
+++ b/src/overload/capacity_share.cpp
@@ -9,15 +9,15 @@
 namespace
 {
 
-/** Part of the capacity that is kept for the priorities below one that can't be served whole: it grows
-    with what that one lacks, so that a small shortage hardly moves anything, from a least part to a most.
-    Without it the lower ones get nothing, whatever little they need; with more the first one pays too much
-    (docs/design/capacity-and-retries.md). */
+/** Part of the capacity reserved for the lower priorities when a priority can't be served completely:
+    proportional to the shortfall of that priority, so that a small shortage changes little, and clamped to
+    a minimum and a maximum. Without a reserve the lower priorities get nothing, however little they need;
+    a larger reserve takes too much from the higher priority. */
 constexpr double reservedPerShortfall = 1.0;
 constexpr double minReserved = 0.08;
 constexpr double maxReserved = 0.25;
 
-/** Indices of the demands of one priority, the least first. */
+/** Indices of the demands of one priority, by ascending work. */
 using PriorityClass = std::vector<std::size_t>;
 
 std::map<unsigned, PriorityClass> classesOf (const std::vector<RowDemand>& demands)
@@ -36,29 +36,30 @@
 
 double totalWork (const std::vector<RowDemand>& demands, const PriorityClass& rows)
 {
-    double whole = 0;
+    double total = 0;
 
     for (const auto n : rows)
-        whole += demands[n].work;
+        total += demands[n].work;
 
-    return whole;
+    return total;
 }
 
-/** What a priority with this demand leaves of the capacity to those below, whose demand is `lowerDemand`.
-    They never get a greater share of theirs. */
+/** Returns the capacity that a priority with this demand leaves to the lower priorities, whose demand is
+    `lowerDemand`. The lower priorities never get a greater share of their demand than the higher one. */
 double reservedForLower (double capacity, double demand, double lowerDemand)
 {
-    const double whole = demand + lowerDemand;
+    const double total = demand + lowerDemand;
 
-    if (whole <= 0 || capacity >= whole)
+    if (total <= 0 || capacity >= total)
         return lowerDemand;
 
-    const double lack = demand > 0 ? std::max (0.0, 1 - capacity / demand) : 0;
-    const double kept = capacity * std::clamp (reservedPerShortfall * lack, minReserved, maxReserved);
-    return std::min (kept, capacity * lowerDemand / whole);
+    const double shortfall = demand > 0 ? std::max (0.0, 1 - capacity / demand) : 0;
+    const double reserved =
+        capacity * std::clamp (reservedPerShortfall * shortfall, minReserved, maxReserved);
+    return std::min (reserved, capacity * lowerDemand / total);
 }
 
-/** Equal amounts to all; what one doesn't need goes to the others. */
+/** Divides the capacity equally among the rows; capacity that a row doesn't need goes to the others. */
 void shareEqually (const std::vector<RowDemand>& demands, const PriorityClass& rows, double capacity,
                    std::vector<double>& shares)
 {
@@ -66,9 +67,9 @@
 
     for (const auto n : rows)
     {
-        const double given = std::min (demands[n].work, capacity / static_cast<double> (rowsLeft));
-        shares[n] = demands[n].work > 0 ? given / demands[n].work : 1;
-        capacity -= given;
+        const double granted = std::min (demands[n].work, capacity / static_cast<double> (rowsLeft));
+        shares[n] = demands[n].work > 0 ? granted / demands[n].work : 1;
+        capacity -= granted;
         --rowsLeft;
     }
 }
@@ -88,9 +89,9 @@
     {
         const double demand = totalWork (demands, rows);
         lower = std::max (0.0, lower - demand);
-        const double given = std::min (demand, capacity - reservedForLower (capacity, demand, lower));
-        shareEqually (demands, rows, given, shares);
-        capacity -= given;
+        const double granted = std::min (demand, capacity - reservedForLower (capacity, demand, lower));
+        shareEqually (demands, rows, granted, shares);
+        capacity -= granted;
     }
 
     return shares;
--- a/src/overload/capacity_share.hpp
+++ b/src/overload/capacity_share.hpp
@@ -1,10 +1,10 @@
-/** Who gets the capacity of a service that can't take all: how much of each row is admitted.
+/** Divides the capacity of an overloaded service among rows: how much of each row is admitted.
 
-    By priority first. But a priority that can't be served whole doesn't take all the capacity: a part of it
-    is kept for those below, which would else be refused whole for as long as the shortage lasts. Within a
-    priority each row gets an equal amount at most, so that rows that need little are served whole (max-min
-    fairness). Capacity is counted in work, not in requests, since a request of one row may make eight calls
-    and that of another one. Pure.
+    Higher priorities come first. But a priority that can't be served completely doesn't get all the capacity:
+    a part is reserved for the lower priorities, which would otherwise be rejected completely for as long as
+    the shortage lasts. Within a priority the capacity is divided by max-min fairness, so that rows with small
+    demands are served completely. Capacity is counted in work, not in requests, because a request of one row
+    may make eight calls and a request of another row one. Owns no state. Pure.
 */
 #pragma once
 
@@ -14,7 +14,7 @@
 namespace anisehold::overload
 {
 
-/** Work that a row's requests would bring to the service in some time, in any unit. */
+/** Work that a row's requests would bring to the service in a period, in any unit. */
 struct RowDemand
 {
     std::string_view row;
@@ -22,8 +22,8 @@
     double work = 0;
 };
 
-/** The share of each demand that is admitted, from 0 to 1, in the order of the demands. `capacity` is in
-    their unit. */
+/** Returns the admitted share of each demand, from 0 to 1, in the order of the demands. `capacity` has the
+    unit of the demands. */
 std::vector<double> shareCapacity (const std::vector<RowDemand>& demands, double capacity);
 
 } // namespace anisehold::overload
--- a/src/overload/pressure_report.cpp
+++ b/src/overload/pressure_report.cpp
@@ -7,10 +7,10 @@
 namespace
 {
 
-/** Reports that are older than this many periods don't count. A report may be lost, and periods of two
-    daemons don't begin together. Chosen, not measured. */
+/** Number of periods after which a report no longer counts. Reports may be lost, and the periods of two
+    daemons aren't synchronized. */
 constexpr double reportPeriods = 2.5;
-/** Weight of a report in the mean work of a row. Chosen, not measured. */
+/** Weight of a report in the mean work of a row. */
 constexpr double workSample = 0.25;
 
 /** Sums the recent reports. */
@@ -36,7 +36,7 @@
     return sum;
 }
 
-/** This daemon's counts as it reports them, without rows and works. */
+/** Returns this daemon's counts for a report, without rows and work. */
 ServicePressure ownCounts (const RootLimitState& state, const std::string& name, const ServiceState& service)
 {
     const auto it = service.reports.find (state.ownName);
@@ -51,7 +51,7 @@
     return counts;
 }
 
-/** Takes in new counts of a daemon. A restarted one counts from zero again. */
+/** Stores new counts of a daemon. The counts of a restarted daemon start at zero. */
 void applyReport (ServiceState& service, TimePoint now, const std::string& daemon,
                   const ServicePressure& report)
 {
--- a/src/overload/pressure_report.hpp
+++ b/src/overload/pressure_report.hpp
@@ -1,6 +1,6 @@
-/** The counts of calls and refusals that daemons report to each other, and their sum over the fleet.
+/** Counts of calls and refusals that daemons report to each other, and their sums over the fleet.
 
-    Owns the counts, reports and works of ServiceState. Relies on peers that report once a period
+    Owns the counts, reports and work of ServiceState. Relies on peers that report once per period
     (sidecar/peer_exchange). Pure.
 */
 #pragma once
@@ -13,34 +13,35 @@
 namespace anisehold::overload
 {
 
-/** A call of this daemon to `service` ended. `refused`: all servers that were tried had no capacity. */
+/** Records the end of a call of this daemon to `service`. `refused`: all servers that were tried had no
+    capacity. */
 void recordCallEnded (RootLimitState&, const std::string& service, bool refused);
 
-/** What the requests of the rows that run at this daemon's server bring to `service`, as measured here. */
+/** Sets the work that requests of the local server's rows bring to `service`, as measured by this daemon. */
 void setOwnRowWork (RootLimitState&, const std::string& service, std::vector<RowWork>);
 
-/** Work that one request of `row` brings to `service`, in ms of its slots; 0 if it isn't known. */
+/** Returns the work that one request of `row` brings to `service`, in ms of slot time; 0 if unknown. */
 double knownRowWork (const RootLimitState&, const std::string& service, const std::string& row);
 
-/** A peer's report came. */
+/** Records a peer's report. */
 void recordPeerReport (RootLimitState&, TimePoint now, const std::string& peer,
                        const std::vector<ServicePressure>&);
 
-/** What this daemon reports: services that some row is known to reach, that refused calls lately, or of
-    whose volume a part is refused. */
+/** Returns this daemon's report: services that some row is known to reach, that recently refused calls, or
+    whose admitted share is below 1. */
 std::vector<ServicePressure> ownReport (const RootLimitState&);
 
-/** The fleet's counts of one service in a period. */
+/** The fleet's counts for one service in a period. */
 struct FleetCounts
 {
     double ended = 0;
     double refused = 0;
-    double meanAdmittedShare = 1; /**< Of the daemons. */
-    std::size_t daemons = 0;      /**< Whose reports were recent enough. */
+    double meanAdmittedShare = 1; /**< Mean over the daemons' admitted shares. */
+    std::size_t daemons = 0;      /**< Daemons with a recent report. */
 };
 
-/** Takes this daemon's own counts up to `now` for a report, and sums all recent ones. `name`: the
-    service's. */
+/** Stores this daemon's own counts up to `now` as its report, and sums all recent reports on service
+    `name`. */
 FleetCounts sumFleetCounts (const RootLimitState&, TimePoint now, const std::string& name, ServiceState&);
 
 } // namespace anisehold::overload
--- a/src/overload/root_limit.cpp
+++ b/src/overload/root_limit.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-/** What is taken for the length of a period at least and at most, in seconds: the rise of a share goes by it,
-    and must neither stand still nor jump where a period was cut short or the process stood still. */
+/** Bounds of the assumed period length, in seconds. The increase of a share is proportional to the period,
+    and must neither stop nor jump after a shortened period or a suspension of the process. */
 constexpr double minPeriodS = 0.1;
 constexpr double maxPeriodS = 3.0;
 
-/** Work, in ms, of the service's rows for which none was measured: the mean of the others. */
+/** Returns the work, in ms, assumed for rows without a measurement: the mean of the measured rows. */
 double meanRowWork (const ServiceState& service)
 {
     double sum = 0;
@@ -26,7 +26,7 @@
     return sum > 0 ? sum / static_cast<double> (service.works.size()) : 1.0;
 }
 
-/** What is offered of the rows that reach the service, in work. */
+/** Returns the offered work of each row that reaches the service. */
 std::vector<RowDemand> demandsOf (const RootLimitState& state, const ServiceState& service)
 {
     TimePoint latest{};
@@ -49,7 +49,7 @@
     return demands;
 }
 
-/** The admitted shares of all rows that reach the service and were offered. */
+/** Returns the admitted share of each row that reaches the service and had requests. */
 std::map<std::string, double> rowShares (const RootLimitState& state, const ServiceState& service)
 {
     const auto demands = demandsOf (state, service);
--- a/src/overload/root_limit.hpp
+++ b/src/overload/root_limit.hpp
@@ -1,15 +1,15 @@
-/** Early refusal of clients' requests while a service that they reach, at any depth, lacks capacity.
-
-    A request whose calls are refused further down has cost work and gives nothing. So the fleet limits what
-    it admits at the edge. Each daemon counts how its calls to each service end, and reports that to its peers
-    (pressure_report); all sum the counts of the last period, so that the verdict rests on the whole fleet's
-    calls and not on a few of one daemon. From the sum and the service's utilization follows the share of the
-    volume that is admitted (admitted_share), for the rows that reach the service (row_reach); which of them
-    get it is decided by capacity_share, and each daemon keeps what it has under way of a row steady
-    (rows_under_way).
-
-    Owns RootLimitState. Relies on peers' reports and on utilizations that the caller brings. Plain state and
-    free functions over it. Pure.
+/** Early rejection of client requests while a service that they reach, at any depth, lacks capacity.
+
+    A request whose calls are refused downstream has cost work without a result, so the fleet limits the
+    requests that it admits at the edge. Each daemon counts the results of its calls to each service and
+    reports the counts to its peers (pressure_report). All daemons sum the counts of the last period, so that
+    the limit depends on the calls of the whole fleet and not on a few of one daemon. The sums and the
+    service's utilization determine the admitted share of the volume (admitted_share) of the rows that reach
+    the service (row_reach). capacity_share divides that share among the rows, and each daemon stabilizes the
+    number of its requests in flight per row (rows_under_way).
+
+    Owns RootLimitState. Relies on peers' reports and on utilizations from the caller. Plain state and free
+    functions. Pure.
 */
 #pragma once
 
@@ -27,28 +27,29 @@
 namespace anisehold::overload
 {
 
-/** An admitted share that a period's end moved, and what decided it. */
+/** A change of an admitted share at the end of a period, with its inputs. */
 struct AdmittedShareChange
 {
     std::string service;
     double from = 1;
     double to = 1;
-    std::uint64_t ended = 0;                 /**< Calls of the whole fleet in the period. */
-    std::uint64_t refused = 0;               /**< Of those, refused. */
-    std::size_t daemons = 0;                 /**< Whose reports were recent enough. */
-    double utilization = 0;                  /**< Of the service. */
-    std::map<std::string, double> rowShares; /**< Share admitted of each row that reaches the service. */
+    std::uint64_t ended = 0;                 /**< Finished calls of the whole fleet in the period. */
+    std::uint64_t refused = 0;               /**< Refused calls among `ended`. */
+    std::size_t daemons = 0;                 /**< Daemons with a recent report. */
+    double utilization = 0;                  /**< Utilization of the service. */
+    std::map<std::string, double> rowShares; /**< Admitted share of each row that reaches the service. */
 };
 
-/** Ends a period, once between two reports of this daemon: moves the shares by the fleet's counts. */
+/** Ends a period and updates the admitted shares from the fleet's counts; called once between two reports
+    of this daemon. */
 std::vector<AdmittedShareChange> endPeriod (RootLimitState&, TimePoint now, const Utilizations&);
 
-/** Whether a share isn't whole, or calls were refused lately: reports should come more often then. The
-    first refusal brings it about at once, so that an overload that comes suddenly is met within the
-    shorter period. */
+/** Whether an admitted share is below 1 or calls were recently refused; reports should then be more
+    frequent. The first refusal has this effect at once, so that the limit responds to a sudden overload
+    within the shorter period. */
 bool isUnderPressure (const RootLimitState&);
 
-/** Share of new requests of a row that are refused now, from 0 to 1. */
+/** Returns the share of new requests of a row that are currently rejected, from 0 to 1. */
 double refusedShare (const RootLimitState&, const RootRow&);
 
 } // namespace anisehold::overload
--- a/src/overload/root_limit_state.hpp
+++ b/src/overload/root_limit_state.hpp
@@ -1,5 +1,5 @@
-/** What one daemon keeps for the limit of root requests (root_limit.hpp). Plain state: row_reach,
-    pressure_report, admitted_share and root_limit change it, each its own part. */
+/** State of one daemon for the limit of root requests (root_limit.hpp). Plain data: row_reach,
+    pressure_report, admitted_share, root_limit and rows_under_way each update their own part. */
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,14 @@
 namespace anisehold::overload
 {
 
-/** A row as the limit sees it. */
+/** The properties of a row that the limit uses. */
 struct RootRow
 {
     std::string name;
     unsigned priority = 0; /**< 0 is the most important. */
 };
 
-/** The counts of one daemon for one service, as of its last two reports. */
+/** The counts of one daemon for one service, from its last two reports. */
 struct ReportedCounts
 {
     std::uint32_t ended = 0;
@@ -32,36 +32,37 @@
     TimePoint reported;
 };
 
-/** Failures of one row's requests while a service refused calls of the machine that ran them. Older ones
-    count less. */
+/** Failures of a row's requests while a service refused calls of the machine that ran them, decayed
+    exponentially. */
 struct ReachEvidence
 {
     double failures = 0;
     TimePoint updated;
 };
 
-/** What is known of one service. */
+/** State of one service. */
 struct ServiceState
 {
     // pressure_report
-    std::uint32_t ended = 0; /**< Of this daemon's calls, since its start. */
+    std::uint32_t ended = 0; /**< Finished calls of this daemon since its start. */
     std::uint32_t refused = 0;
-    bool isRefusing = false; /**< Calls were refused since the last period began, here or at peers. */
-    std::map<std::string, ReportedCounts> reports; /**< By daemon, this one included. */
-    std::vector<RowWork> ownRowWork;     /**< Reported to peers: of rows that run at this daemon's server. */
-    std::map<std::string, double> works; /**< By row: mean of what all daemons report, in ms of slots. */
+    bool isRefusing = false; /**< Calls were refused since the start of the last period, here or at peers. */
+    std::map<std::string, ReportedCounts> reports; /**< By daemon, including this one. */
+    std::vector<RowWork> ownRowWork;               /**< Work of the local server's rows, reported to peers. */
+    std::map<std::string, double>
+        works; /**< Mean work by row over all daemons' reports, in ms of slot time. */
 
     // admitted_share
-    double admittedShare = 1;         /**< Of the volume of its rows. */
-    double measuredAdmittedShare = 1; /**< Moving mean of it: what is measured now was admitted by this. */
-    unsigned cleanPeriods = 0;        /**< In a row, without refusals. */
+    double admittedShare = 1;         /**< Share of the volume of the service's rows. */
+    double measuredAdmittedShare = 1; /**< Moving mean of `admittedShare`; matches the measurements. */
+    unsigned cleanPeriods = 0;        /**< Consecutive periods without refusals. */
 
     // row_reach
-    std::set<std::string> rows;                    /**< Those whose requests reach it. */
-    std::map<std::string, ReachEvidence> evidence; /**< By row, of those that may. */
+    std::set<std::string> rows;                    /**< Rows whose requests reach the service. */
+    std::map<std::string, ReachEvidence> evidence; /**< By row, for rows that may reach the service. */
 };
 
-/** Requests offered of one row; older ones count less. */
+/** Requests offered of one row, decayed exponentially. */
 struct RowVolume
 {
     unsigned priority = 0;
@@ -69,16 +70,16 @@
     TimePoint updated;
 
     // rows_under_way
-    unsigned inFlight = 0; /**< Admitted by this daemon, and not ended. */
-    Duration meanTime{};   /**< Moving mean of the time that admitted ones take; 0 while none has ended. */
+    unsigned inFlight = 0; /**< Requests admitted by this daemon that have not ended. */
+    Duration meanTime{};   /**< Moving mean of the duration of admitted requests; 0 until one has ended. */
 };
 
-/** All that one daemon keeps for the limit. */
+/** One daemon's state for the limit. */
 struct RootLimitState
 {
     std::string ownName;
-    Duration period = seconds (1); /**< Between two reports of a daemon in calm times. */
-    TimePoint periodEnded;         /**< The last one. */
+    Duration period = seconds (1); /**< Time between two reports of a daemon in calm times. */
+    TimePoint periodEnded;         /**< End of the last period. */
     std::map<std::string, ServiceState> services;
     std::map<std::string, RowVolume> rows;
 };
--- a/src/overload/row_reach.cpp
+++ b/src/overload/row_reach.cpp
@@ -8,13 +8,15 @@
 namespace
 {
 
-/** A row's volume, and a failure of it, counts half after this time, in seconds. */
+/** Half-life of a row's volume and of its failures, in seconds. */
 constexpr double volumeHalfLifeS = 3.0;
-/** Faded failures from which on a row reaches a service: three within a second. A server's own failures are
-    less than a hundredth of its answers, but two in a row do happen in a fleet. */
+/** Minimum number of decayed failures for a row to count as reaching a service: three within a second. A
+    server's own failures are less than a hundredth of its responses, but two in succession do happen in a
+    fleet. */
 constexpr double minFailures = 2.5;
-/** Part of the row's requests that must have failed so. Where calls are refused, each fails a whole
-    request. Both guard rows that don't call the service, of which single requests fail at such moments. */
+/** Minimum part of the row's requests that must have failed in this way; where calls are refused, each
+    refused call fails a whole request. Both minimums protect rows that don't call the service but have
+    single failures at the same time. */
 constexpr double minFailedPart = 0.1;
 
 double decayed (double value, Duration age)
@@ -31,9 +33,9 @@
 
 double offeredPerSecond (const RowVolume& row)
 {
-    // A steady rate sums up to this many seconds of it.
-    constexpr double countedS = volumeHalfLifeS / std::numbers::ln2;
-    return row.offered / countedS;
+    // A steady rate adds up to the requests of this many seconds.
+    constexpr double windowS = volumeHalfLifeS / std::numbers::ln2;
+    return row.offered / windowS;
 }
 
 void recordOffered (RootLimitState& state, TimePoint now, const RootRow& row)
--- a/src/overload/row_reach.hpp
+++ b/src/overload/row_reach.hpp
@@ -1,9 +1,9 @@
-/** How much is offered of each row, and which services its requests reach, at any depth.
+/** Tracks the request volume of each row, and which services its requests reach, at any depth.
 
-    The calls that a server makes carry nothing of the request that they are made for. So a row counts as one
-    that reaches a service when the service refuses a request of it, or when enough of its requests fail at
-    servers whose calls the service refused meanwhile. Owns `rows` and `evidence` of ServiceState and `rows`
-    of RootLimitState. Pure.
+    The calls that a server makes don't identify the request that they are made for. So a row counts as
+    reaching a service when the service refuses a request of the row, or when enough of the row's requests
+    fail at servers whose calls the service refused in the meantime. Owns `rows` and `evidence` of
+    ServiceState and `rows` of RootLimitState. Pure.
 */
 #pragma once
 
@@ -12,21 +12,22 @@
 namespace anisehold::overload
 {
 
-/** A client's request came, whether or not it is admitted. */
+/** Records a client's request, whether or not it is admitted. */
 void recordOffered (RootLimitState&, TimePoint now, const RootRow&);
 
-/** Requests of the row that were offered lately, each counted half after `volumeHalfLifeS`. */
+/** Returns the requests of the row offered recently, decayed with a half-life of `volumeHalfLifeS`. */
 double offeredVolume (const RowVolume&, TimePoint now);
 
-/** The rate at which requests of the row came lately, per second. */
+/** Returns the recent request rate of the row, per second. */
 double offeredPerSecond (const RowVolume&);
 
-/** `service` itself had no capacity for a request of `row`: the row reaches it. */
+/** Records that `service` itself had no capacity for a request of `row`, so that the row reaches the
+    service. */
 void recordReach (RootLimitState&, const std::string& row, const std::string& service);
 
-/** A request of `row` failed at a server whose machine's calls `service` had refused meanwhile. The server
-    may have failed for another reason, so the row counts as one that reaches the service only if that happens
-    to a good part of its requests. */
+/** Records a failure of a request of `row` at a server on a machine whose calls `service` refused in the
+    meantime. The server may have failed for another reason, so the row counts as reaching the service only
+    if a sufficient part of its requests fails in this way. */
 void recordDownstreamFailure (RootLimitState&, TimePoint now, const std::string& row,
                               const std::string& service);
 
--- a/src/overload/rows_under_way.cpp
+++ b/src/overload/rows_under_way.cpp
@@ -9,12 +9,12 @@
 namespace
 {
 
-/** Change of the share for each whole part of the usual number by which the requests under way differ from
-   it: none is admitted with a sixth more. */
+/** Gain of the correction: relative change of the share per relative deviation of the requests in flight
+    from the expected number. No request is admitted if a sixth more than expected are in flight. */
 constexpr double correctionGain = 6.0;
-/** A smaller usual number is taken for this: a single request isn't far too many. */
+/** Minimum expected number in the division, so that a single request isn't a large excess. */
 constexpr double minExpected = 1.0;
-/** Weight of the newest request in the mean time. */
+/** Weight of the newest request in the mean duration. */
 constexpr double timeSample = 0.05;
 
 } // namespace
--- a/src/overload/rows_under_way.hpp
+++ b/src/overload/rows_under_way.hpp
@@ -1,12 +1,12 @@
-/** Keeps the number of a row's requests that are under way steady while only a share of them is admitted.
+/** Stabilizes the number of a row's requests in flight while only a share of them is admitted.
 
-    Drawn by share alone, requests come in groups: now too many, and calls at the end of their chains meet
-   full gates and take work done before with them; now too few, and slots stand empty. With as many under way
-   as the share brings about on average, the end of the chains is used evenly, and more can be admitted for
-   the same refusals.
+    With random admission by share alone, requests arrive in bursts. With too many in flight, calls at the end
+    of their chains find full gates, and the work done before is lost; with too few, slots stay idle. With the
+    number in flight held at the average for the share, the end of the chains is used evenly, and more
+    requests can be admitted for the same number of refusals.
 
-    Owns `inFlight` and `meanTime` of RowVolume. Relies on the caller to note each admitted request's begin
-   and end. Pure.
+    Owns `inFlight` and `meanTime` of RowVolume. Relies on the caller to record the start and the end of each
+    admitted request. Pure.
 */
 #pragma once
 
@@ -18,15 +18,15 @@
 namespace anisehold::overload
 {
 
-/** A client's request of the row was admitted. */
+/** Records that a client's request of the row was admitted. */
 void recordRequestStarted (RootLimitState&, const std::string& row);
 
-/** It ended, however, after `elapsed`. */
+/** Records the end of an admitted request, successful or not, after `elapsed`. */
 void recordRequestEnded (RootLimitState&, const std::string& row, Duration elapsed);
 
-/** The share to admit the next request with: more than `admittedShare` while fewer requests than usual are
-   under way, less while more are; between 0 and 1. A whole share, or one of a row of which none has ended,
-   stays. */
+/** Returns the share with which to admit the next request: above `admittedShare` while fewer requests than
+    expected are in flight, below while more are; between 0 and 1. A share of 1, or the share of a row of
+    which no request has ended, is unchanged. */
 double correctedShare (const RowVolume&, double admittedShare);
 
 } // namespace anisehold::overload
--- a/src/overload/service_pressure.hpp
+++ b/src/overload/service_pressure.hpp
@@ -1,5 +1,5 @@
-/** What a daemon reports to its peers of a service that lacks capacity. Sent in its record
-    (membership/peer_record.hpp), as a positional archive: the order of `serialize_all` is the wire's. */
+/** A daemon's report to its peers on a service that lacks capacity. Sent in the daemon's record
+    (membership/peer_record.hpp) as a positional archive: the order of `serialize_all` is the wire format. */
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,11 @@
 namespace anisehold::overload
 {
 
-/** Work that one request of a row brings to a service, with all calls made for it. */
+/** Work that one request of a row brings to a service, including all calls made for the request. */
 struct RowWork
 {
     std::string row;
-    double ms = 0; /**< Time of the service's slots. */
+    double ms = 0; /**< Time in slots of the service. */
 
     template <typename Archive>
     void serialize (Archive& archive, unsigned)
@@ -24,18 +24,19 @@
     }
 };
 
-/** One daemon's count of calls to one service, and what it makes of them. */
+/** One daemon's counts of calls to one service, and the resulting admitted share. */
 struct ServicePressure
 {
     std::string service;
-    std::uint32_t ended = 0;   /**< Calls of this daemon to it that have ended, since the daemon's start. */
-    std::uint32_t refused = 0; /**< Of those, refused by all servers that were tried, for overload. */
-    double admittedShare = 1;  /**< Of the offered volume, as this daemon has it; from 0 to 1. */
-    std::vector<std::string> rows; /**< Rows whose requests reach the service, as far as this daemon knows. */
-    std::uint32_t recentEnded = 0; /**< Of `ended`, those of about the last period: they count where the
-                                        receiver has no earlier report to compare with. */
-    std::uint32_t recentRefused = 0; /**< The same of `refused`. */
-    std::vector<RowWork> works{};    /**< Of rows that the sender's server runs, as it measures them. */
+    std::uint32_t ended = 0;       /**< Finished calls of this daemon to the service since its start. */
+    std::uint32_t refused = 0;     /**< Calls among `ended` that all tried servers refused for overload. */
+    double admittedShare = 1;      /**< Share of the offered volume, from 0 to 1, as known to this daemon. */
+    std::vector<std::string> rows; /**< Rows known to this daemon whose requests reach the service. */
+    std::uint32_t recentEnded = 0; /**< Calls among `ended` of about the last period; used by receivers
+                                      without an earlier report to compare with. */
+    std::uint32_t recentRefused = 0; /**< Calls among `refused` of about the last period. */
+    std::vector<RowWork>
+        works{}; /**< Work of the rows that run at the sender's server, as measured by the sender. */
 
     template <typename Archive>
     void serialize (Archive& archive, unsigned)
--- a/src/overload/time_weighted_mean.hpp
+++ b/src/overload/time_weighted_mean.hpp
@@ -1,7 +1,7 @@
-/** The mean of a number that changes at any moment, weighted by time; older time counts less.
+/** Time-weighted mean of a changing value, with exponential decay.
 
-    A gate keeps one of its requests in flight; the utilization of a service is made of these. Relies on the
-    time types only. Pure.
+    A gate keeps the mean of its requests in flight, from which the utilization of a service is computed.
+    Relies on the time types only. Pure.
 */
 #pragma once
 
@@ -12,19 +12,19 @@
 namespace anisehold::overload
 {
 
-/** The present value and the faded mean of those before, in the value's unit. */
+/** The current value and the decayed mean of earlier values. */
 struct TimeWeightedMean
 {
-    double mean = 0; /**< As of `updated`. */
+    double mean = 0; /**< Mean as of `updated`. */
     unsigned value = 0;
     TimePoint updated;
 };
 
-/** Time after which a past value counts half, in seconds. Below the limit's period under pressure (0.4 s),
-    so that a period's mean is mostly its own. Chosen, not measured. */
+/** Half-life of past values, in seconds. Shorter than the limit's period under pressure (0.4 s), so that
+    the mean of a period mostly reflects that period. */
 inline constexpr double meanHalfLifeS = 0.25;
 
-/** The mean as of `now`. */
+/** Returns the mean as of `now`. */
 inline double currentMean (const TimeWeightedMean& state, TimePoint now)
 {
     const std::chrono::duration<double> elapsed = now - state.updated;
@@ -32,7 +32,7 @@
     return state.mean * kept + state.value * (1 - kept);
 }
 
-/** The number becomes `value`. */
+/** Records a change to `value`. */
 inline void recordValue (TimeWeightedMean& state, TimePoint now, unsigned value)
 {
     state.mean = currentMean (state, now);
--- a/src/overload/utilization.hpp
+++ b/src/overload/utilization.hpp
@@ -1,9 +1,8 @@
-/** The utilization of a service: the mean share of its servers' slots that is taken, as their gates report
-   it.
+/** The utilization of a service: the mean share of busy slots over its servers, as reported by their gates.
 
-    Inputs: each known server's limit, the share of it that is busy, and its share of failures. Slots of a
-   server that fails are no capacity, so they count by the part of its requests that it answers. Relies on a
-   caller that adds each server once. Pure.
+    Inputs are each known server's limit, its share of busy slots and its share of failures. Slots of a
+    failing server are not usable capacity, so a server's slots count in proportion to its successful
+    requests. Owns no state. Relies on a caller that adds each server once. Pure.
 */
 #pragma once
 
@@ -14,18 +13,18 @@
 namespace anisehold::overload
 {
 
-/** Mean share of each service's slots that is taken, from 0 to 1. */
+/** Mean share of busy slots of each service, from 0 to 1. */
 using Utilizations = std::map<std::string, double>;
 
-/** What one server's gate reports of it. */
+/** Load of one server as reported by its gate. */
 struct ServerUtilization
 {
-    unsigned limit = 0;         /**< Most requests in flight. */
-    unsigned busyPercent = 0;   /**< Mean of the requests in flight, of `limit`. */
-    unsigned failedPercent = 0; /**< Of its requests. */
+    unsigned limit = 0;         /**< Maximum requests in flight. */
+    unsigned busyPercent = 0;   /**< Mean of the requests in flight, in percent of `limit`. */
+    unsigned failedPercent = 0; /**< Share of failed requests, in percent. */
 };
 
-/** Slots of one service, over all servers that were added. */
+/** Slots of one service, summed over its servers. */
 struct SlotCount
 {
     double busy = 0;
@@ -36,10 +35,10 @@
                        const ServerUtilization& server)
 {
     constexpr double shareOfPercent = 0.01;
-    const double sound = shareOfPercent * (100.0 - std::min (server.failedPercent, 100U));
+    const double healthyShare = shareOfPercent * (100.0 - std::min (server.failedPercent, 100U));
     auto& slots = services[service];
-    slots.busy += sound * shareOfPercent * server.busyPercent * server.limit;
-    slots.total += sound * server.limit;
+    slots.busy += healthyShare * shareOfPercent * server.busyPercent * server.limit;
+    slots.total += healthyShare * server.limit;
 }
 
 inline Utilizations utilizationsOf (const std::map<std::string, SlotCount>& services)
--- a/src/overload/work_estimate.cpp
+++ b/src/overload/work_estimate.cpp
@@ -9,20 +9,19 @@
 namespace
 {
 
-/** Time after which an observation counts half, in seconds: far longer than a request, since under overload
-    the chains that break off at their first call make few. Chosen, not measured. */
+/** Half-life of an observation, in seconds. Far longer than a request, because under overload the chains
+    that break off at their first call make few calls. */
 constexpr double halfLifeS = 10;
-/** Requests of a row that must have ended before it is estimated. Chosen, not measured. */
+/** Minimum number of finished requests before a row is estimated. */
 constexpr double minEnded = 5;
-/** What is taken to have been seen of each pair of rows before: as many calls in as many seconds of slots. It
-    lets a row begin, and is soon outweighed. Chosen, not measured. */
+/** Prior for each pair of rows: the number of calls, and of seconds of slot time, assumed to have been
+    observed. Gives new rows an initial estimate and is soon outweighed. */
 constexpr double priorCalls = 0.5;
 constexpr double priorSlotS = 0.5;
-/** A row is forgotten when it runs no more and fewer of its requests than this count. Chosen, not
-    measured. */
+/** A row expires when none of its requests runs and its decayed count of finished requests is below this. */
 constexpr double minRetainedCount = 0.01;
 
-/** Lets the time up to `now` pass. */
+/** Applies elapsed slot time and decay up to `now`. */
 void advance (WorkEstimate& work, TimePoint now)
 {
     const double elapsedS = std::chrono::duration<double> (now - work.updated).count();
@@ -46,7 +45,7 @@
                    { return it.second.inFlight == 0 && it.second.ended < minRetainedCount; });
 }
 
-/** Calls of row `called` in a second of the row's slots. */
+/** Returns the calls of row `called` per second of the row's slot time. */
 double callRate (const RowRuns& row, const std::string& called)
 {
     const auto found = row.calls.find (called);
@@ -73,18 +72,18 @@
 void recordCallMade (WorkEstimate& work, TimePoint now, const std::string& called)
 {
     advance (work, now);
-    double whole = 0;
+    double total = 0;
 
     for (const auto& [name, it] : work.rows)
-        whole += it.inFlight * callRate (it, called);
+        total += it.inFlight * callRate (it, called);
 
-    if (whole <= 0)
+    if (total <= 0)
         return;
 
     for (auto& [name, it] : work.rows)
     {
         if (it.inFlight > 0)
-            it.calls[called] += it.inFlight * callRate (it, called) / whole;
+            it.calls[called] += it.inFlight * callRate (it, called) / total;
     }
 }
 
--- a/src/overload/work_estimate.hpp
+++ b/src/overload/work_estimate.hpp
@@ -1,15 +1,17 @@
-/** How much work the requests of each row make, as the daemon beside a server sees it.
+/** Estimates the work that requests of each row generate, as observed by the daemon next to a server.
 
-    The calls that a server makes carry nothing of the request that they are made for. But the daemon knows
-    which requests run at its server when a call comes: the call is shared among them by how often requests of
-    their rows have made such calls before, which settles on the true numbers where the rows don't always run
-    together (expectation maximisation, one step a call). The time that a row's requests take of the server's
-    slots follows from how many ran and how many ended (Little's law). Older observations count less.
+    The calls that a server makes don't identify the request that they are made for, but the daemon knows
+    which requests run at its server when a call arrives. Each call is divided among these requests by how
+    often requests of their rows made such calls before; the estimate converges to the true numbers if the
+    rows don't always run together (expectation maximization, one step per call). The slot time per request of
+    a row follows from the number running and the number finished (Little's law). Observations decay
+    exponentially.
 
-    Measured with simulated calls of 8 seeds: two rows with nearly the same rate of calls are told apart to
-    within two fifths, their sum is right to a twentieth (work_estimate_test).
+    With simulated calls of 8 seeds, two rows with nearly the same call rate are distinguished to within two
+    fifths, and their sum is accurate to a twentieth (work_estimate_test).
 
-    Plain state and free functions over it; relies on knownRowWork for what called rows bring. Pure.
+    Owns WorkEstimate; relies on knownRowWork for the work of called rows. Plain state and free functions.
+    Pure.
 */
 #pragma once
 
@@ -23,43 +25,43 @@
 namespace anisehold::overload
 {
 
-/** What was seen of one row's requests at the server. */
+/** Observations of one row's requests at the server. */
 struct RowRuns
 {
     unsigned inFlight = 0;
-    double slotS = 0;                    /**< Time of slots that they took, in seconds. */
-    double ended = 0;                    /**< Number of requests. */
-    std::map<std::string, double> calls; /**< Calls made for them, by the called row. */
+    double slotS = 0;                    /**< Slot time used, in seconds. */
+    double ended = 0;                    /**< Number of finished requests. */
+    std::map<std::string, double> calls; /**< Calls made for the requests, by called row. */
 };
 
-/** All rows that run at the server beside this daemon. */
+/** Observations of all rows that run at the local server. */
 struct WorkEstimate
 {
     std::map<std::string, RowRuns> rows;
     TimePoint updated;
 };
 
-/** The server began to run a request of `row`. */
+/** Records that the server started a request of `row`. */
 void recordRunStarted (WorkEstimate&, TimePoint now, const std::string& row);
 
-/** The server ended a request of `row`, well or not. */
+/** Records that the server finished a request of `row`, successfully or not. */
 void recordRunEnded (WorkEstimate&, TimePoint now, const std::string& row);
 
-/** The server made a call of row `called`. */
+/** Records that the server made a call of row `called`. */
 void recordCallMade (WorkEstimate&, TimePoint now, const std::string& called);
 
-/** Calls of row `called` made for one request of `row`; 0 if nothing is known. */
+/** Returns the number of calls of row `called` per request of `row`; 0 if unknown. */
 double callsPerRun (const WorkEstimate&, const std::string& row, const std::string& called);
 
-/** Time of slots that one request of `row` takes, in ms; 0 if nothing is known. */
+/** Returns the slot time per request of `row`, in ms; 0 if unknown. */
 double slotMsPerRun (const WorkEstimate&, const std::string& row);
 
-/** Work that one request of each row brings to `service`: its own time if it runs there, and that of the
-    calls made for it, as far as what those bring is known. At most `maxReportedRows` rows. */
+/** Returns the work that one request of each row brings to `service`: its own slot time if the row runs
+    there, and the known work of the calls made for it. At most `maxReportedRows` rows. */
 std::vector<RowWork> estimateRowWork (const WorkEstimate&, const RootLimitState&,
                                       const std::string& ownService, const std::string& service);
 
-/** Most rows reported of a service in one record, which must fit into a datagram. Chosen, not measured. */
+/** Maximum number of rows reported per service in one record, which must fit into a datagram. */
 inline constexpr std::size_t maxReportedRows = 16;
 
 } // namespace anisehold::overload
--- a/tests/unit/overload/capacity_share_test.cpp
+++ b/tests/unit/overload/capacity_share_test.cpp
@@ -10,33 +10,34 @@
 {
 
 /** Share of what these ranks together ask for that they get, if they ask for anything. */
-std::optional<double> shareOfRanks (const std::vector<RowDemand>& demands, const std::vector<double>& shares,
-                                    unsigned first, unsigned last)
+std::optional<double> shareOfPriorities (const std::vector<RowDemand>& demands,
+                                         const std::vector<double>& shares, unsigned first, unsigned last)
 {
-    double asked = 0;
-    double given = 0;
+    double demanded = 0;
+    double granted = 0;
 
     for (std::size_t n = 0; n < demands.size(); ++n)
     {
         if (demands[n].priority < first || demands[n].priority > last)
             continue;
 
-        asked += demands[n].work;
-        given += demands[n].work * shares[n];
+        demanded += demands[n].work;
+        granted += demands[n].work * shares[n];
     }
 
-    return asked > 0 ? std::optional (given / asked) : std::nullopt;
+    return demanded > 0 ? std::optional (granted / demanded) : std::nullopt;
 }
 
 } // namespace
 
-TEST_CASE ("with room for all, all is let in", "[overload]")
+TEST_CASE ("all demands are admitted if the capacity suffices", "[overload]")
 {
     const auto shares = shareCapacity ({ { "a", 0, 10 }, { "b", 2, 20 }, { "c", 2, 0 } }, 30);
     CHECK (shares == std::vector<double>{ 1, 1, 1 });
 }
 
-TEST_CASE ("a rank that fits is served whole before the next, but for a least part", "[overload]")
+TEST_CASE ("a priority that fits is served completely before the next, except for the minimum reserve",
+           "[overload]")
 {
     const auto shares = shareCapacity ({ { "vital", 0, 50 }, { "plain", 2, 50 } }, 60);
     CHECK (shares[0] == 1);
@@ -46,7 +47,7 @@
     CHECK (tight[1] == Approx (0.08));
 }
 
-TEST_CASE ("the more a rank lacks, the more is kept for those below, up to a quarter", "[overload]")
+TEST_CASE ("the reserve for lower priorities grows with the shortfall, up to a quarter", "[overload]")
 {
     const auto some = shareCapacity ({ { "vital", 0, 100 }, { "plain", 2, 100 } }, 80);
     CHECK (some[0] == Approx (0.64));
@@ -56,21 +57,21 @@
     CHECK (most[1] == Approx (0.05));
 }
 
-TEST_CASE ("the ranks below together get no greater share than the one above", "[overload]")
+TEST_CASE ("lower priorities together get no greater share than the higher one", "[overload]")
 {
     const auto shares = shareCapacity ({ { "vital", 0, 100 }, { "tiny", 2, 1 } }, 50);
     CHECK (shares[0] == Approx (50.0 / 101));
     CHECK (shares[1] == Approx (50.0 / 101));
 }
 
-TEST_CASE ("within a rank each row gets the same room at most, so that little needs are met", "[overload]")
+TEST_CASE ("within a priority capacity is divided equally, so that small demands are met", "[overload]")
 {
     const auto shares = shareCapacity ({ { "lookup", 2, 800 }, { "card", 2, 70 } }, 200);
     CHECK (shares[1] == 1);
     CHECK (shares[0] == Approx (130.0 / 800));
 }
 
-TEST_CASE ("shares are shares, never give more than the room, and use it up", "[overload]")
+TEST_CASE ("shares are between 0 and 1, never exceed the capacity, and use all of it", "[overload]")
 {
     std::mt19937 random (11);
     std::uniform_real_distribution<double> unit (0, 1);
@@ -89,21 +90,21 @@
 
         const double capacity = 1.2 * whole * unit (random);
         const auto shares = shareCapacity (demands, capacity);
-        double given = 0;
+        double granted = 0;
 
         for (std::size_t row = 0; row < demands.size(); ++row)
         {
             REQUIRE (shares[row] >= 0);
             REQUIRE (shares[row] <= 1);
-            given += shares[row] * demands[row].work;
+            granted += shares[row] * demands[row].work;
         }
 
-        REQUIRE (given == Approx (std::min (capacity, whole)).margin (1e-6));
+        REQUIRE (granted == Approx (std::min (capacity, whole)).margin (1e-6));
 
         for (unsigned rank = 0; rank < 2; ++rank)
         {
-            const auto above = shareOfRanks (demands, shares, rank, rank);
-            const auto below = shareOfRanks (demands, shares, rank + 1, 2);
+            const auto above = shareOfPriorities (demands, shares, rank, rank);
+            const auto below = shareOfPriorities (demands, shares, rank + 1, 2);
             REQUIRE ((! above || ! below || *above >= *below - 1e-9));
         }
     }
--- a/tests/unit/overload/root_limit_test.cpp
+++ b/tests/unit/overload/root_limit_test.cpp
@@ -29,7 +29,7 @@
         recordCallEnded (state, service, i < refused);
 }
 
-/** A daemon both of whose rows reach "deep", after one period in which it refused nothing. */
+/** Returns a daemon with two rows that reach "deep", after one period without refusals. */
 RootLimitState daemonWithRows (TimePoint now)
 {
     RootLimitState state;
@@ -43,7 +43,7 @@
 }
 
 //==============================================================================
-/** A fleet in front of one deep service with room for `capacity` calls a period. */
+/** A fleet that calls one downstream service with a capacity of `capacity` calls per period. */
 struct FleetModel
 {
     static constexpr std::size_t numDaemons = 8;
@@ -57,8 +57,9 @@
             daemons[n].ownName = "d" + std::to_string (n);
     }
 
-    /** One period: `each` requests of both rows at each daemon. Returns the whole ones of (vital, plain). */
-    std::pair<int, int> play (int each, int capacity)
+    /** Simulates one period with `each` requests of both rows at each daemon. Returns the numbers of
+        completed requests (vital, plain). */
+    std::pair<int, int> simulate (int each, int capacity)
     {
         now += period;
         std::vector<std::pair<std::size_t, RootRow>> requests;
@@ -73,24 +74,24 @@
         }
 
         std::shuffle (requests.begin(), requests.end(), random);
-        std::pair<int, int> whole{ 0, 0 };
-        int room = capacity;
-        taken = 0;
-        // Room comes evenly over the period.
+        std::pair<int, int> completed{ 0, 0 };
+        int capacityLeft = capacity;
+        served = 0;
+        // Capacity becomes available evenly over the period.
         const double share =
             static_cast<double> (capacity) / static_cast<double> (requests.size() * callsPerRequest);
 
         for (const auto& [n, row] : requests)
         {
-            if (playRequest (daemons[n], row, room, share))
-                ++(row.name == vital.name ? whole.first : whole.second);
+            if (simulateRequest (daemons[n], row, capacityLeft, share))
+                ++(row.name == vital.name ? completed.first : completed.second);
         }
 
-        exchange ({ { "deep", static_cast<double> (taken) / capacity } });
-        return whole;
+        exchange ({ { "deep", static_cast<double> (served) / capacity } });
+        return completed;
     }
 
-    bool playRequest (RootLimitState& daemon, const RootRow& row, int& room, double share)
+    bool simulateRequest (RootLimitState& daemon, const RootRow& row, int& capacityLeft, double share)
     {
         recordOffered (daemon, now, row);
 
@@ -104,7 +105,7 @@
 
         for (int call = 0; call < callsPerRequest; ++call)
         {
-            const bool refused = unused < 1 || room <= 0;
+            const bool refused = unused < 1 || capacityLeft <= 0;
             recordCallEnded (daemon, "deep", refused);
 
             if (refused)
@@ -114,8 +115,8 @@
             }
 
             unused -= 1;
-            --room;
-            ++taken;
+            --capacityLeft;
+            ++served;
         }
 
         return true;
@@ -143,7 +144,7 @@
     std::vector<RootLimitState> daemons;
     TimePoint now{ seconds (100) };
     double unused = 0;
-    int taken = 0;
+    int served = 0;
     bool isLimited = true;
 };
 
@@ -157,7 +158,7 @@
     CHECK (refusedShare (state, { "unknown", 9 }) == 0);
 }
 
-TEST_CASE ("the less important row gives way first", "[overload]")
+TEST_CASE ("the less important row is rejected first", "[overload]")
 {
     TimePoint now (seconds (1));
     auto state = daemonWithRows (now);
@@ -169,40 +170,40 @@
     CHECK (refusedShare (state, plain) > 0.2);
 }
 
-TEST_CASE ("without refusals the admitted share follows the utilization, and only a limited one",
+TEST_CASE ("without refusals, an admitted share below 1 follows the utilization, a share of 1 stays",
            "[overload]")
 {
     TimePoint now (seconds (1));
     auto state = daemonWithRows (now);
     auto& share = state.services["deep"].admittedShare;
 
-    const auto playPeriod = [&] (int refused, double utilization)
+    const auto simulatePeriod = [&] (int refused, double utilization)
     {
         now += period;
         endCalls (state, "deep", 100, refused);
         endPeriod (state, now, { { "deep", utilization } });
     };
 
-    playPeriod (0, 1.0);
+    simulatePeriod (0, 1.0);
     CHECK (share == 1);
-    playPeriod (20, 1.0);
+    simulatePeriod (20, 1.0);
     CHECK (share < 1);
 
     for (int n = 0; n < 10; ++n)
-        playPeriod (0, targetUtilization);
+        simulatePeriod (0, targetUtilization);
 
     const double limited = share;
     CHECK (limited < 1);
-    playPeriod (0, targetUtilization);
+    simulatePeriod (0, targetUtilization);
     CHECK (share == Approx (limited));
-    playPeriod (0, 1.0);
+    simulatePeriod (0, 1.0);
     CHECK (share < limited);
-    playPeriod (0, 0.5);
-    playPeriod (0, 0.5);
+    simulatePeriod (0, 0.5);
+    simulatePeriod (0, 0.5);
     CHECK (share > limited);
 }
 
-TEST_CASE ("the verdict rests on the fleet's calls, not on a few of one daemon", "[overload]")
+TEST_CASE ("the limit depends on the fleet's calls, not on a few of one daemon", "[overload]")
 {
     const auto now = TimePoint (seconds (1));
     auto state = daemonWithRows (now);
@@ -214,7 +215,7 @@
     CHECK (state.services["deep"].admittedShare == 1);
 }
 
-TEST_CASE ("counts of a restarted peer and of one that went silent don't mislead", "[overload]")
+TEST_CASE ("a restarted peer's counts start at zero, and those of a silent peer expire", "[overload]")
 {
     const auto now = TimePoint (seconds (1));
     auto state = daemonWithRows (now);
@@ -229,7 +230,7 @@
     CHECK (state.services["deep"].admittedShare == 1);
 }
 
-TEST_CASE ("a restarted daemon takes over its peers' share and rows", "[overload]")
+TEST_CASE ("a restarted daemon adopts its peers' share and rows", "[overload]")
 {
     const auto now = TimePoint (seconds (1));
     RootLimitState state;
@@ -247,34 +248,35 @@
 namespace
 {
 
-/** Share of the vital requests, and of all that there is room for, that are whole under lasting overload. */
+/** Returns the completed shares under lasting overload: of the vital requests, and of all requests that
+    the capacity suffices for. */
 std::pair<double, double> goodputUnderOverload (unsigned seed, bool isLimited)
 {
     constexpr int each = 10;
-    constexpr int capacity = 400; // Of 640 calls that are asked for; vital requests alone need 320.
-    constexpr int watched = 20;
+    constexpr int capacity = 400; // The requests ask for 640 calls; vital requests alone need 320.
+    constexpr int measuredPeriods = 20;
     FleetModel fleet (seed);
     fleet.isLimited = isLimited;
 
     for (int n = 0; n < 10; ++n)
-        fleet.play (each, capacity);
+        fleet.simulate (each, capacity);
 
     double vitals = 0;
     double all = 0;
 
-    for (int n = 0; n < watched; ++n)
+    for (int n = 0; n < measuredPeriods; ++n)
     {
-        const auto whole = fleet.play (each, capacity);
-        vitals += whole.first;
-        all += whole.first + whole.second;
+        const auto completed = fleet.simulate (each, capacity);
+        vitals += completed.first;
+        all += completed.first + completed.second;
     }
 
-    return { vitals / (watched * 80), all / (watched * 100) };
+    return { vitals / (measuredPeriods * 80), all / (measuredPeriods * 100) };
 }
 
 } // namespace
 
-TEST_CASE ("under lasting overload nearly all room goes to whole requests, the important ones first",
+TEST_CASE ("under lasting overload nearly all capacity goes to completed requests, important ones first",
            "[overload]")
 {
     constexpr unsigned seeds = 40;
@@ -295,26 +297,27 @@
 
     CHECK (vitals > 0.9);
     CHECK (all > 0.82);
-    // Without the limit the same load loses most of them: the test can fail.
+    // Without the limit the same load loses most of the vital requests, which shows that the checks above can
+    // fail.
     CHECK (vitalsUnlimited < 0.6);
 }
 
-TEST_CASE ("soon after the overload all requests are let in again", "[overload]")
+TEST_CASE ("soon after an overload all requests are admitted again", "[overload]")
 {
     FleetModel fleet (3);
 
     for (int n = 0; n < 15; ++n)
-        fleet.play (10, 300);
+        fleet.simulate (10, 300);
 
     for (int n = 0; n < 8; ++n)
-        fleet.play (10, 2'000);
+        fleet.simulate (10, 2'000);
 
-    const auto whole = fleet.play (10, 2'000);
-    CHECK (whole.first == 80);
-    CHECK (whole.second == 80);
+    const auto completed = fleet.simulate (10, 2'000);
+    CHECK (completed.first == 80);
+    CHECK (completed.second == 80);
 }
 
-TEST_CASE ("in a large fleet reports count for as long as its slower period asks", "[overload]")
+TEST_CASE ("in a large fleet reports stay valid for its longer period", "[overload]")
 {
     const auto now = TimePoint (seconds (10));
     auto state = daemonWithRows (now);
@@ -325,8 +328,7 @@
     CHECK (state.services["deep"].admittedShare < 1);
 }
 
-TEST_CASE (
-    "the first refusal after a calm time asks for faster reports, and a period without one takes that back")
+TEST_CASE ("the first refusal requests faster reports, and a period without refusals ends them")
 {
     const TimePoint start = TimePoint() + seconds (100);
     auto state = daemonWithRows (start);
@@ -338,7 +340,7 @@
     CHECK_FALSE (isUnderPressure (state));
 }
 
-TEST_CASE ("refusals are reported though it isn't known which routes they fail")
+TEST_CASE ("refusals are reported even if the affected rows are unknown")
 {
     RootLimitState state;
     state.ownName = "self";
@@ -350,7 +352,7 @@
     CHECK (ownReport (state).front().recentRefused == 1);
 }
 
-TEST_CASE ("a peer's first report counts with what the peer counted lately, and no more than that")
+TEST_CASE ("a peer's first report counts only with its recent calls")
 {
     const TimePoint start = TimePoint() + seconds (100);
     RootLimitState state;
@@ -372,12 +374,12 @@
     CHECK (moves.front().to < 0.8);
 }
 
-TEST_CASE ("a route whose server fails now and then isn't taken for one that reaches a service without room")
+TEST_CASE ("a row with occasional failures doesn't count as reaching an overloaded service")
 {
     const TimePoint start = TimePoint() + seconds (100);
     RootLimitState state;
     state.ownName = "self";
-    const auto play = [&] (const RootRow& row, int failEach)
+    const auto simulate = [&] (const RootRow& row, int failEach)
     {
         for (int n = 0; n < 1'000; ++n)
         {
@@ -388,13 +390,13 @@
                 recordDownstreamFailure (state, now, row.name, "deep");
         }
     };
-    play (plain, 200);
+    simulate (plain, 200);
     CHECK_FALSE (state.services["deep"].rows.contains (plain.name));
-    play (vital, 5);
+    simulate (vital, 5);
     CHECK (state.services["deep"].rows.contains (vital.name));
 }
 
-TEST_CASE ("two failures in a row don't make a route one that reaches the service; the third does")
+TEST_CASE ("a row counts as reaching a service after the third failure in succession, not after the second")
 {
     const TimePoint start = TimePoint() + seconds (100);
     RootLimitState state;
--- a/tests/unit/overload/rows_under_way_test.cpp
+++ b/tests/unit/overload/rows_under_way_test.cpp
@@ -12,7 +12,7 @@
 
 const RootRow row{ "row", 1 };
 
-/** A daemon at which 20 requests a second of the row were offered for long, each of which takes 0.5 s. */
+/** Returns a daemon with a steady rate of 20 requests of the row per second, each of which takes 0.5 s. */
 RootLimitState steadyDaemon()
 {
     RootLimitState state;
@@ -31,16 +31,16 @@
 
 } // namespace
 
-TEST_CASE ("the rate of a row is known from its volume", "[overload]")
+TEST_CASE ("the rate of a row follows from its volume", "[overload]")
 {
     CHECK (offeredPerSecond (steadyDaemon().rows[row.name]) == Approx (20).epsilon (0.02));
 }
 
-TEST_CASE ("with fewer under way than a share brings about more are admitted, with more fewer", "[overload]")
+TEST_CASE ("the share rises with fewer requests in flight than expected and falls with more", "[overload]")
 {
     auto state = steadyDaemon();
     const auto& volume = state.rows[row.name];
-    // 0.4 of 20 a second, half a second each: four under way.
+    // 0.4 of 20 requests per second at 0.5 s each: four in flight.
     const double share = 0.4;
     CHECK (correctedShare (volume, share) > 0.9);
 
@@ -54,7 +54,7 @@
     CHECK (correctedShare (volume, share) == Approx (share).margin (0.05));
 }
 
-TEST_CASE ("a whole share stays whole, and one stays while no request has ended", "[overload]")
+TEST_CASE ("a share of 1 is unchanged, and any share until a request has ended", "[overload]")
 {
     auto state = steadyDaemon();
 
@@ -69,7 +69,7 @@
     CHECK (correctedShare (fresh.rows[row.name], 0.3) == 0.3);
 }
 
-TEST_CASE ("ends that nobody saw begin don't count", "[overload]")
+TEST_CASE ("ends without a recorded start are ignored", "[overload]")
 {
     RootLimitState state;
     recordOffered (state, TimePoint{}, row);
--- a/tests/unit/overload/time_weighted_mean_test.cpp
+++ b/tests/unit/overload/time_weighted_mean_test.cpp
@@ -15,7 +15,7 @@
     CHECK (currentMean (mean, start + seconds (20)) == Approx (8));
 }
 
-TEST_CASE ("how often the value is noted makes no difference", "[overload]")
+TEST_CASE ("repeated records of the same value make no difference", "[overload]")
 {
     const TimePoint start (seconds (10));
     TimeWeightedMean once;
@@ -28,7 +28,7 @@
     CHECK (currentMean (often, start + seconds (1)) == Approx (currentMean (once, start + seconds (1))));
 }
 
-TEST_CASE ("a value that alternates gives its mean", "[overload]")
+TEST_CASE ("an alternating value yields its mean", "[overload]")
 {
     TimePoint now (seconds (10));
     TimeWeightedMean mean;
--- a/tests/unit/overload/utilization_test.cpp
+++ b/tests/unit/overload/utilization_test.cpp
@@ -15,7 +15,7 @@
     CHECK (utilizations.at ("other") == Approx (0.25));
 }
 
-TEST_CASE ("slots of a server that fails are no capacity", "[overload]")
+TEST_CASE ("slots of a failing server don't count as capacity", "[overload]")
 {
     std::map<std::string, SlotCount> services;
     addServer (services, "deep", { 10, 80, 0 });
--- a/tests/unit/overload/work_estimate_test.cpp
+++ b/tests/unit/overload/work_estimate_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** A server that runs requests of some rows, whose calls come at random times while they run. */
+/** A server that runs requests of several rows, which make calls at random times while they run. */
 struct ServerModel
 {
     struct Row
@@ -26,12 +26,12 @@
     struct Step
     {
         TimePoint time;
-        int kind = 0; /**< 0 began, 1 made a call, 2 ended. */
+        int kind = 0; /**< 0: request started, 1: call made, 2: request ended. */
         std::string row;
         bool operator> (const Step& other) const { return time > other.time; }
     };
 
-    void play (const std::vector<Row>& rows, seconds time, unsigned seed)
+    void simulate (const std::vector<Row>& rows, seconds time, unsigned seed)
     {
         std::mt19937 random (seed);
         std::uniform_real_distribution<double> unit (0, 1);
@@ -77,24 +77,26 @@
 
 } // namespace
 
-TEST_CASE ("calls are told apart by what runs when they come", "[overload]")
+TEST_CASE ("calls are attributed by the requests that run when they arrive", "[overload]")
 {
     ServerModel server;
-    server.play ({ { "index", 120, 150, { { "catalog", 4 } } }, { "export", 10, 72, {} } }, seconds (60), 3);
+    server.simulate ({ { "index", 120, 150, { { "catalog", 4 } } }, { "export", 10, 72, {} } }, seconds (60),
+                     3);
     CHECK (callsPerRun (server.work, "index", "catalog") == Approx (4).epsilon (0.05));
     CHECK (callsPerRun (server.work, "export", "catalog") < 0.4);
     CHECK (slotMsPerRun (server.work, "index") == Approx (150).epsilon (0.1));
     CHECK (slotMsPerRun (server.work, "export") == Approx (72).epsilon (0.15));
 }
 
-TEST_CASE ("two rows that make the same calls at nearly the same rate are told apart roughly, and add up",
+TEST_CASE ("two rows with nearly the same call rate are distinguished roughly, and their sum is accurate",
            "[overload]")
 {
     for (unsigned seed = 1; seed <= 8; ++seed)
     {
         ServerModel server;
-        server.play ({ { "redeem", 20, 300, { { "index", 2 } } }, { "ledger", 48, 170, { { "index", 1 } } } },
-                     seconds (60), seed);
+        server.simulate (
+            { { "redeem", 20, 300, { { "index", 2 } } }, { "ledger", 48, 170, { { "index", 1 } } } },
+            seconds (60), seed);
         const double redeem = callsPerRun (server.work, "redeem", "index");
         const double ledger = callsPerRun (server.work, "ledger", "index");
         INFO ("seed " << seed);
@@ -107,7 +109,7 @@
 TEST_CASE ("work at a service adds up along the chain", "[overload]")
 {
     ServerModel server;
-    server.play ({ { "index", 50, 150, { { "catalog", 4 } } } }, seconds (30), 1);
+    server.simulate ({ { "index", 50, 150, { { "catalog", 4 } } } }, seconds (30), 1);
     RootLimitState limit;
     CHECK (estimateRowWork (server.work, limit, "export-svc", "end-svc").empty());
     setOwnRowWork (limit, "end-svc", { { "catalog", 30 } });
@@ -120,7 +122,7 @@
     CHECK (here.front().ms == Approx (150).epsilon (0.1));
 }
 
-TEST_CASE ("nothing is said of few requests, of calls without any, and of what is long past", "[overload]")
+TEST_CASE ("no estimate from few requests, calls without requests, or old observations", "[overload]")
 {
     const auto start = TimePoint (seconds (100));
     WorkEstimate work;
