--- a/src/connection/connect_backoff.hpp
+++ b/src/connection/connect_backoff.hpp
@@ -1,9 +1,9 @@
-/** Whether a server can be connected to.
+/** Backoff for connection attempts to an unreachable server.
 
-    A server that is gone without a word lets each attempt to connect hang: it took half a second of each
-    request sent to it. After a few failures in a row only single attempts are made, so that requests move on
-    to other servers at once. The gate beside the server owns the state and calls recordConnected or
-    recordConnectFailure for each attempt. Pure.
+    If a server disappears without closing its connections, each attempt to connect hangs, which cost half a
+    second per request sent to such a server. After a few consecutive failures only single attempts are made,
+    so that requests move on to other servers at once. The local gate of the server owns the state, and calls
+    recordConnected or recordConnectFailure for each attempt. Pure.
 */
 #pragma once
 
@@ -12,25 +12,25 @@
 namespace anisehold::connection
 {
 
-/** What the latest attempts showed. */
+/** Result of the latest attempts. */
 struct ConnectBackoff
 {
     unsigned failuresInRow = 0;
     TimePoint nextAttempt;
 };
 
-/** Failures in a row after which a server counts as unreachable. Chosen, not measured. */
+/** Consecutive failures after which a server counts as unreachable. */
 inline constexpr unsigned maxFailures = 3;
-/** Pause between two attempts at an unreachable server. Chosen, not measured. */
+/** Interval between two attempts to connect to an unreachable server. */
 inline constexpr milliseconds attemptInterval{ 300 };
 
-/** Whether the server counts as unreachable. */
 inline bool isUnreachable (const ConnectBackoff& backoff)
 {
     return backoff.failuresInRow >= maxFailures;
 }
 
-/** Whether a request may try to connect now; takes the single attempt of an unreachable server. */
+/** Whether a request may attempt to connect now; true at most once per `attemptInterval` for an
+    unreachable server. */
 inline bool acquireAttempt (ConnectBackoff& backoff, TimePoint now)
 {
     if (! isUnreachable (backoff))
@@ -43,13 +43,13 @@
     return true;
 }
 
-/** The server was connected to. */
+/** Records a successful attempt to connect. */
 inline void recordConnected (ConnectBackoff& backoff)
 {
     backoff.failuresInRow = 0;
 }
 
-/** It could not be. */
+/** Records a failed attempt to connect. */
 inline void recordConnectFailure (ConnectBackoff& backoff, TimePoint now)
 {
     ++backoff.failuresInRow;
--- a/src/connection/idle_limit.hpp
+++ b/src/connection/idle_limit.hpp
@@ -1,8 +1,9 @@
-/** How long a kept connection to a server may be idle before it isn't used again.
+/** Limits how long a persistent connection to a server may be idle before reuse.
 
-    A server may forget idle connections sooner than it says, or without a word; whatever is sent on one then
-    is lost, and a request that may run once only can't be sent again. The limit is learned from such losses
-    and grows back while none come. Owned by the gate beside the server (sidecar/local_gate). Pure.
+    A server may drop idle connections earlier than it announces, or without closing them. A request sent on
+    such a connection is lost, and a request that must run at most once can't be sent again. The limit is
+    learned from such losses and grows again while none occur. The local gate of the server owns the state
+    (sidecar/local_gate). Pure.
 */
 #pragma once
 
@@ -13,24 +14,23 @@
 namespace anisehold::connection
 {
 
-/** What was learned of one server. */
+/** The idle limit of one server. */
 struct IdleLimit
 {
-    Duration maxIdle = Duration::max(); /**< As of `changed`; no limit at first. */
+    Duration maxIdle = Duration::max(); /**< The limit at the time `changed`; initially unlimited. */
     TimePoint changed;
 };
 
-/** No limit is learned below this: a pause between two requests isn't idleness. Chosen, not measured. */
+/** Lower bound of the limit: a pause between two requests doesn't count as idle. */
 inline constexpr milliseconds minIdle{ 20 };
-/** Divisor of the idle time after which a connection was lost: what is left of it is taken for safe. Chosen,
-    not measured. */
+/** Divisor of the idle time after which a connection was lost; the quotient is assumed to be safe. */
 inline constexpr int safeIdleDivisor = 4;
-/** Time without a loss in which the limit doubles. Chosen, not measured. */
+/** Time without a loss after which the limit doubles. */
 inline constexpr seconds idleDoubling{ 5 };
-/** Doublings after which there is no limit any more. Chosen, not measured. */
+/** Number of doublings after which the limit ends. */
 inline constexpr int maxDoublings = 8;
 
-/** How long a connection may have been idle now. */
+/** Returns the maximum idle time of a connection that may be reused now. */
 inline Duration currentMaxIdle (const IdleLimit& limit, TimePoint now)
 {
     if (limit.maxIdle == Duration::max())
@@ -44,7 +44,7 @@
     return limit.maxIdle * (1LL << doublings);
 }
 
-/** A connection that had been idle for `idle` was lost when it was used again. */
+/** Records that a connection was lost on reuse after being idle for `idle`. */
 inline void recordLostConnection (IdleLimit& limit, TimePoint now, Duration idle)
 {
     limit.maxIdle =
--- a/src/discovery/missing_registrations.hpp
+++ b/src/discovery/missing_registrations.hpp
@@ -1,9 +1,9 @@
-/** Which registrations of living daemons are missing from the store.
+/** Detects registrations of live daemons that are missing from the store.
 
-    The store may lose registrations without any call of their owners showing it. The watchers of a zone
-   compare its members that they hear with a listing, and write what is missing on their owners' behalf. A
-   listing may be some seconds old, so only what two listings in a row lack is missing. Owns what the last
-   listing lacked; the sidecar lists and writes. Pure.
+    The store may lose registrations without any call of their owners failing. The watchers of a zone compare
+    the zone's reachable members with a listing, and write missing registrations on their owners' behalf. A
+    listing may be some seconds old, so a registration only counts as missing if two consecutive listings lack
+    it. Owns the registrations absent from the last listing; the sidecar lists and writes. Pure.
 */
 #pragma once
 
@@ -16,20 +16,20 @@
 namespace anisehold::discovery
 {
 
-/** Time between two listings of a small fleet: two of them fit into the two seconds after the store's return.
-    Chosen, not measured. */
+/** Time between two listings of a small fleet. Two listings fit into the first two seconds after the store
+    has recovered. */
 inline constexpr milliseconds listingPeriod{ 1'000 };
-/** More of it for each member: a listing of a large fleet has more bytes. At 295 members 1.6 s in all.
-    Chosen, not measured. */
+/** Additional time for each member, since the listing of a large fleet has more bytes: 1.6 s in total for
+    295 members. */
 inline constexpr milliseconds listingPeriodPerMember{ 2 };
 
-/** What the last listing lacked. */
+/** Registrations absent from the last listing. */
 struct MissingRegistrations
 {
     std::set<std::string> absent;
 };
 
-/** Takes in a listing; returns those of `expected` that this one and the last one lack. */
+/** Processes a listing; returns the keys of `expected` that this listing and the previous one lack. */
 inline std::vector<std::string> findMissing (MissingRegistrations& state, const std::set<std::string>& listed,
                                              const std::vector<std::string>& expected)
 {
--- a/src/discovery/registration_ages.hpp
+++ b/src/discovery/registration_ages.hpp
@@ -1,9 +1,9 @@
-/** How long registrations in the store have gone without being written again.
+/** Tracks how long registrations in the store have gone without a refresh.
 
-    Registrations have no lease, so that none lapses while the store is away. Every daemon writes its own
-   again now and then; one that stays unchanged for long belongs to a machine that is gone. Ages are counted
-   by this process's own clock from when it first saw a revision. Owns what was seen; the sidecar lists and
-   removes. Pure.
+    Registrations have no lease, so that none expires while the store is unavailable. Every daemon refreshes
+    its registration periodically; one without a refresh for long belongs to a machine that is gone. Ages are
+    measured with the clock of this process, from when it first saw a revision. Owns the revisions seen; the
+    sidecar lists and removes registrations. Pure.
 */
 #pragma once
 
@@ -21,10 +21,10 @@
 struct Registration
 {
     std::string key;
-    std::uint64_t revision = 0; /**< Rises whenever the registration is written. */
+    std::uint64_t revision = 0; /**< Increases with every write of the registration. */
 };
 
-/** What was seen of the registrations so far. */
+/** Revisions of the registrations in the last listing, each with the time of its first sight. */
 struct RegistrationAges
 {
     struct Seen
@@ -36,12 +36,12 @@
     std::map<std::string, Seen> seen;
 };
 
-/** How often a daemon writes its registration again. Chosen, not measured. */
+/** Interval in which a daemon refreshes its registration. */
 inline constexpr seconds registrationPeriod{ 300 };
-/** A registration that missed three writings, and the spread of a period, belongs to nobody. */
+/** A registration counts as abandoned after three missed refreshes, plus the random spread of an interval. */
 inline constexpr seconds registrationLifetime{ 4 * registrationPeriod };
 
-/** Takes in a whole listing; returns the registrations that nobody has written for their lifetime. */
+/** Processes a complete listing; returns the registrations without a refresh for their lifetime. */
 inline std::vector<Registration> findAbandoned (RegistrationAges& ages, TimePoint now,
                                                 const std::vector<Registration>& listing)
 {
--- a/src/discovery/watch_role.cpp
+++ b/src/discovery/watch_role.cpp
@@ -9,15 +9,14 @@
 namespace
 {
 
-/** Any constant will do, as long as all daemons of a fleet use the same one. */
+/** Key of the ranking; all daemons of a fleet must use the same one. */
 constexpr const char* rankingKey = "configuration-watch";
-/** Least time without a working watch before a daemon stands in: a watch that was cut is open again sooner.
-    Chosen, not measured. */
+/** Minimum time without a working watch before a daemon stands in; an interrupted watch is usually
+    reopened sooner. */
 constexpr milliseconds minStandInDelay{ 2'000 };
-/** Share of the spread per known peer: the fleet makes at most 25 such attempts a second.
-    Chosen, not measured. */
+/** Spread of the delays per known peer: a fleet makes at most 25 such attempts per second. */
 constexpr milliseconds spreadPerPeer{ 40 };
-/** A fleet of any size finds a stand-in within this time. Chosen, not measured. */
+/** Maximum spread: a fleet of any size finds a stand-in within this time. */
 constexpr milliseconds maxSpread{ 10'000 };
 
 Duration drawStandInDelay (std::size_t knownPeers, const UnitRandom& random)
--- a/tests/unit/connection/connect_backoff_test.cpp
+++ b/tests/unit/connection/connect_backoff_test.cpp
@@ -5,7 +5,7 @@
 using namespace anisehold;
 using namespace anisehold::connection;
 
-TEST_CASE ("single failures change nothing", "[connection]")
+TEST_CASE ("single failures don't make a server unreachable", "[connection]")
 {
     const TimePoint now (seconds (50));
     ConnectBackoff backoff;
@@ -17,7 +17,7 @@
     CHECK_FALSE (isUnreachable (backoff));
 }
 
-TEST_CASE ("an unreachable server is tried now and then, until it answers", "[connection]")
+TEST_CASE ("an unreachable server gets single attempts until one succeeds", "[connection]")
 {
     TimePoint now (seconds (50));
     ConnectBackoff backoff;
--- a/tests/unit/connection/idle_limit_test.cpp
+++ b/tests/unit/connection/idle_limit_test.cpp
@@ -5,12 +5,13 @@
 using namespace anisehold;
 using namespace anisehold::connection;
 
-TEST_CASE ("without losses connections may rest as long as they like", "[connection]")
+TEST_CASE ("without losses the idle time is unlimited", "[connection]")
 {
     CHECK (currentMaxIdle ({}, TimePoint (seconds (50))) == Duration::max());
 }
 
-TEST_CASE ("a lost connection bounds the rest, and a second one only further", "[connection]")
+TEST_CASE ("a lost connection limits the idle time, and a second one can only lower the limit",
+           "[connection]")
 {
     const TimePoint now (seconds (50));
     IdleLimit limit;
@@ -22,7 +23,7 @@
     CHECK (currentMaxIdle (limit, now) == minIdle);
 }
 
-TEST_CASE ("the limit grows back, and is gone after a while", "[connection]")
+TEST_CASE ("the limit grows again, and ends after some time", "[connection]")
 {
     const TimePoint now (seconds (50));
     IdleLimit limit;
--- a/tests/unit/discovery/missing_registrations_test.cpp
+++ b/tests/unit/discovery/missing_registrations_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace anisehold::discovery;
 
-TEST_CASE ("a registration is missing when two listings in a row lack it")
+TEST_CASE ("a registration is missing if two consecutive listings lack it")
 {
     MissingRegistrations state;
     CHECK (findMissing (state, { "a" }, { "a", "b" }).empty());
@@ -13,7 +13,7 @@
     CHECK (findMissing (state, { "a" }, { "a", "b" }).empty());
 }
 
-TEST_CASE ("a member that is no longer heard isn't written in its place")
+TEST_CASE ("the registration of an unreachable member isn't restored")
 {
     MissingRegistrations state;
     CHECK (findMissing (state, {}, { "a", "b" }).empty());
--- a/tests/unit/discovery/registration_ages_test.cpp
+++ b/tests/unit/discovery/registration_ages_test.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE ("a registration that is written again never ages")
+TEST_CASE ("a registration that is refreshed never ages")
 {
     RegistrationAges ages;
 
@@ -20,7 +20,7 @@
         CHECK (findAbandoned (ages, start + i * registrationPeriod, { { "a", 5 + i } }).empty());
 }
 
-TEST_CASE ("a registration that nobody writes is abandoned after its lifetime, not before")
+TEST_CASE ("a registration without a refresh is abandoned after its lifetime, not before")
 {
     RegistrationAges ages;
     CHECK (findAbandoned (ages, start, { { "a", 5 }, { "b", 6 } }).empty());
@@ -33,7 +33,7 @@
     CHECK (abandoned.front().revision == 5);
 }
 
-TEST_CASE ("ages begin when this process first sees a revision, and end with its key")
+TEST_CASE ("an age starts when this process first sees a revision and ends with the key")
 {
     RegistrationAges ages;
     findAbandoned (ages, start, { { "a", 5 } });
--- a/tests/unit/discovery/watch_role_test.cpp
+++ b/tests/unit/discovery/watch_role_test.cpp
@@ -43,7 +43,7 @@
     return appointed;
 }
 
-/** Of a zone of 50 in a fleet of 300; not one of its watchers. */
+/** Returns the view of a daemon that is no watcher, in a zone of 50 in a fleet of 300. */
 WatchView ordinaryView()
 {
     const auto names = members (50);
@@ -69,7 +69,7 @@
     CHECK (appointedOf (members (1)).size() == 1);
 }
 
-TEST_CASE ("members that come and go move at most the places they took")
+TEST_CASE ("a member that joins or leaves moves at most its own appointment")
 {
     auto names = members (50);
     const auto before = appointedOf (names);
@@ -93,7 +93,7 @@
     CHECK (appointedOf (right).size() == watchersPerZone);
 }
 
-TEST_CASE ("a daemon that hears of a working watch stays away from the store")
+TEST_CASE ("a daemon that knows of a working watch doesn't call the store")
 {
     WatchState state;
     auto view = ordinaryView();
@@ -103,14 +103,14 @@
         CHECK (updateRole (state, start + seconds (i), view, half) == WatchRole::none);
 }
 
-TEST_CASE ("without a working watch a daemon stands in after its own time")
+TEST_CASE ("without a working watch a daemon stands in after its own delay")
 {
     WatchState state;
     const auto view = ordinaryView();
     CHECK (updateRole (state, start, view, half) == WatchRole::none);
     CHECK (updateRole (state, start + milliseconds (6'900), view, half) == WatchRole::none);
     CHECK (updateRole (state, start + milliseconds (7'100), view, half) == WatchRole::standIn);
-    // It goes on while it is the only one.
+    // The stand-in keeps its role while no peer has a working watch.
     CHECK (updateRole (state, start + seconds (20), view, half) == WatchRole::standIn);
 
     auto relieved = view;
@@ -118,7 +118,7 @@
     CHECK (updateRole (state, start + seconds (21), relieved, half) == WatchRole::none);
 }
 
-TEST_CASE ("a stand-in that the store turns away waits again")
+TEST_CASE ("a stand-in that the store refuses waits for a new delay")
 {
     WatchState state;
     const auto view = ordinaryView();
@@ -130,7 +130,7 @@
     CHECK (updateRole (state, start + seconds (16), view, half) == WatchRole::standIn);
 }
 
-TEST_CASE ("a fleet whose watchers are all lost finds a stand-in soon and without a rush")
+TEST_CASE ("a fleet without watchers finds a stand-in soon, with few simultaneous attempts")
 {
     for (const std::size_t n : { 14U, 300U, 2'400U })
     {
