--- a/demo/sidecar_demo.cpp
+++ b/demo/sidecar_demo.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The demo of the sidecar: the whole path on stand-ins of the platform, under load, with a server that loses
-/// answers, a daemon that is killed, and a planned stop. Prints what clients saw.
+/// Demo of the sidecar: the complete path on simulated servers of the platform, under load, with a server
+/// that loses its responses, a killed daemon and a planned stop. Prints the clients' results.
 
 #include <algorithm>
 #include <iostream>
@@ -20,7 +20,7 @@
 constexpr int kClients = 24;
 constexpr milliseconds kPauseBetween{20};
 
-/// What clients saw in one phase.
+/// The clients' results in one phase.
 struct PhaseResult {
     std::map<unsigned, unsigned> by_status;
     std::vector<double> latencies_ms;
@@ -35,7 +35,7 @@
     }
 };
 
-/// Clients that send one request after the other, in turn through the first machines of the fleet.
+/// Clients that send requests one after the other, in turn to the first machines of the fleet.
 class Clients {
   public:
     explicit Clients(SidecarFleet& fleet) : fleet_(fleet) {}
@@ -59,16 +59,16 @@
 
   private:
     void send(int client, const std::string& id, PhaseResult& result) {
-        // Clients of the last two machines stay away: these are stopped and killed in the demo.
+        // No client uses the last two machines: the demo stops and kills these.
         const auto machine = static_cast<std::size_t>(client) % (fleet_.size() - 2);
         const bool pays = client % 4 == 0;
         const ClientRequest request = pays ? ClientRequest{"POST", "pay.example", "/pay/", id}
                                            : ClientRequest{"GET", "front.example", "/front/", id};
         const auto started = TimePoint::clock::now();
         const auto answer = fleet_.send(machine, request);
-        const std::chrono::duration<double, std::milli> taken = TimePoint::clock::now() - started;
+        const std::chrono::duration<double, std::milli> elapsed = TimePoint::clock::now() - started;
         ++result.by_status[answer.status];
-        result.latencies_ms.push_back(taken.count());
+        result.latencies_ms.push_back(elapsed.count());
     }
 
     SidecarFleet& fleet_;
@@ -85,7 +85,7 @@
               << " ms, p99 " << result.percentile(0.99) << " ms\n";
 }
 
-/// Requests that ran more than once, of those that may run once only.
+/// Number of at-most-once requests that ran more than once.
 unsigned doubled_payments(SidecarFleet& fleet) {
     std::map<std::string, unsigned> runs;
     for (std::size_t index = 0; index < fleet.size(); ++index) {
@@ -112,8 +112,8 @@
         std::cerr << "the fleet did not start\n";
         return 1;
     }
-    std::cout << fleet.size()
-              << " sidecars, servers beside them; store calls so far: " << fleet.store().calls() << "\n";
+    std::cout << fleet.size() << " sidecars with their servers; store calls so far: " << fleet.store().calls()
+              << "\n";
     Clients clients(fleet);
     print("calm", clients.run("calm"));
     fleet.machine(4).server->faults.loses_answers = true;
--- a/demo/table_demo.cpp
+++ b/demo/table_demo.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The demo: the whole path on stand-ins, a table change under load, and the latency that the path adds.
+/// Demo of `anisehold serve`: the complete path on simulated servers, a table change under load, and the
+/// latency added by the path.
 
 #include <algorithm>
 #include <cmath>
@@ -16,7 +17,7 @@
 constexpr const char* kLatencyMs = "6000";
 constexpr const char* kLatencyRate = "300";
 
-/// Latency of calls that cost the back end nothing, through the daemons and straight, side by side.
+/// Latency of calls without work at the back end, through the daemons and directly, measured side by side.
 struct AddedLatency {
     double straight_p50_us = 0;
     double straight_p99_us = 0;
@@ -53,7 +54,7 @@
             value(through_result, "p50_ms"), value(through_result, "p99_ms")};
 }
 
-/// Changes one cell and returns how long it took to be in force at every member; -1 if it wasn't.
+/// Changes one cell; returns the time until it is in force at every member, or -1 if it doesn't take effect.
 long long change_a_cell(testing::Fleet& fleet) {
     const auto row = fleet.deployment().kinds.front().name;
     const auto started = TimePoint::clock::now();
@@ -68,7 +69,7 @@
 
 void start_clients(testing::Fleet& fleet) {
     for (std::size_t zone = 0; zone < fleet.daemons().size(); ++zone) {
-        // The clients of each zone call the zone's own daemon first.
+        // Clients call the daemon of their own zone first.
         std::vector<std::size_t> order;
         for (std::size_t step = 0; step < fleet.daemons().size(); ++step) {
             order.push_back((zone + step) % fleet.daemons().size());
@@ -78,7 +79,7 @@
     }
 }
 
-/// Waits for all clients; what became of their requests.
+/// Waits for all clients; returns the results of their requests.
 json finish_clients(testing::Fleet& fleet) {
     json total{{"sent", 0}, {"whole", 0}, {"refused", 0}, {"failed", 0}, {"wrong", 0}};
     for (std::size_t zone = 0; zone < fleet.daemons().size(); ++zone) {
@@ -90,7 +91,7 @@
     return total;
 }
 
-/// Stops all daemons as planned; false if one didn't end well in time.
+/// Stops all daemons as planned; returns false if one didn't exit cleanly in time.
 bool stop_daemons(testing::Fleet& fleet) {
     for (const auto& place : fleet.daemons()) {
         fleet.terminate(place.name);
--- a/lab/answer_body.cpp
+++ b/lab/answer_body.cpp
@@ -9,8 +9,8 @@
     body += '\n';
     body.reserve(bytes);
     while (body.size() < bytes) {
-        const auto room = bytes - body.size();
-        body += request_id.substr(0, room);
+        const auto remaining = bytes - body.size();
+        body += request_id.substr(0, remaining);
     }
     return body;
 }
--- a/lab/answer_body.hpp
+++ b/lab/answer_body.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Answer bodies that show whose answer they are and whether they are whole.
+/// Response bodies that identify their request and whether they are complete.
 #pragma once
 
 #include <string>
@@ -7,15 +7,16 @@
 
 namespace anisehold::lab {
 
-/// Header that names the client's request all down the chain; only the lab uses it.
+/// Header with the id of the client's request, passed on to all nested calls; only the lab uses it.
 inline constexpr std::string_view kRequestHeader = "Lab-Request";
 
-/// A body of `bytes` bytes (or a little more, to hold the first line) that belongs to `request_id`.
+/// Returns a body of `bytes` bytes for `request_id`; slightly longer if the first line doesn't fit.
 std::string make_answer_body(std::string_view kind, std::string_view request_id, std::size_t bytes);
 
 enum class BodyCheck { kWhole, kShort, kForeign };
 
-/// Whether `body` is the whole answer to `request_id`, part of it, or somebody else's.
+/// Checks whether `body` is the complete response to `request_id`, an incomplete one, or the response to
+/// another request.
 BodyCheck check_answer_body(std::string_view body, std::string_view kind, std::string_view request_id,
                             std::size_t bytes);
 
--- a/lab/backend.cpp
+++ b/lab/backend.cpp
@@ -13,10 +13,10 @@
 
 using nlohmann::json;
 
-/// Work varies evenly between these shares of the average.
-constexpr double kLeastWork = 0.7;
-constexpr double kMostWork = 1.3;
-/// Calls that wait for a slot; more are refused.
+/// Work is distributed uniformly between these shares of the average.
+constexpr double kMinWork = 0.7;
+constexpr double kMaxWork = 1.3;
+/// Maximum number of calls that wait for a slot; further calls are refused.
 constexpr std::size_t kQueue = 200;
 constexpr milliseconds kDefaultTimeout{10'000};
 constexpr unsigned kOk = 200;
@@ -36,7 +36,7 @@
     return std::string(request.fields.find(kRequestHeader).value_or(""));
 }
 
-/// Waits until `until`; false if the caller went away first.
+/// Waits until `until`; returns false if the caller disconnects first.
 bool sleep_until(TimePoint until, net::CancelSignal& cancel) {
     if (cancel.cancelled()) {
         return false;
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-/// Gives the slot back at the end of the scope.
+/// Returns the slot at the end of the scope.
 class Backend::SlotLease {
   public:
     explicit SlotLease(Backend& backend) : backend_(backend) {}
@@ -162,7 +162,7 @@
     const net::CancelSubscription subscription(&cancel, [event] { event->set(); });
     event->wait_until(deadline);
     const auto place = std::find(waiting_.begin(), waiting_.end(), event);
-    // Whoever returned a slot has taken the event out of the queue and passed the slot on.
+    // return_slot() has removed the event from the queue and passed on its slot.
     const bool given = place == waiting_.end();
     if (!given) {
         waiting_.erase(place);
@@ -185,7 +185,7 @@
 }
 
 Duration Backend::work_time(const KindSpec& kind) {
-    std::uniform_real_distribution<double> share(kLeastWork, kMostWork);
+    std::uniform_real_distribution<double> share(kMinWork, kMaxWork);
     return std::chrono::duration_cast<Duration>(kind.work_ms * share(random_) * faults_.slow_factor);
 }
 
--- a/lab/backend.hpp
+++ b/lab/backend.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A stand-in for one back-end server: slots, a queue, own shedding, nested calls, faults, and counts of
-/// what it ran.
+/// A simulated back-end server with slots, a queue, load shedding, nested calls, injected faults, and counts
+/// of the requests that it ran.
 #pragma once
 
 #include <deque>
@@ -17,17 +17,17 @@
 
 namespace anisehold::lab {
 
-/// What goes wrong at a server. Set through the control endpoint by the names of the members.
+/// Faults of a server. Set through the control endpoint by the names of the members.
 struct BackendFaults {
-    double slow_factor = 1;    ///< All work takes this many times as long.
-    bool frozen = false;       ///< Requests are taken and never answered until thawed.
-    bool health_lies = false;  ///< The health endpoint says fine, whatever is the case.
-    bool fail = false;         ///< After the work, 503 is answered.
+    double slow_factor = 1;    ///< Factor of the duration of all work.
+    bool frozen = false;       ///< Requests are accepted but get no response until the server is thawed.
+    bool health_lies = false;  ///< The health endpoint always reports a healthy server.
+    bool fail = false;         ///< The response after the work is 503.
 };
 
 struct BackendOptions {
     std::string service;
-    unsigned layer_retries = 0;  ///< Retries of its own for each nested call.
+    unsigned layer_retries = 0;  ///< Retries by the server for each nested call.
 };
 
 /// Serves one server of a service.
@@ -35,7 +35,7 @@
   public:
     Backend(boost::asio::io_context& io, Deployment deployment, BackendOptions options, CallTargets targets);
     std::error_code start(const Endpoint& endpoint);
-    /// From now on: health says draining, answers carry `Connection: close`.
+    /// Starts draining: the health endpoint reports it, and responses carry `Connection: close`.
     void drain();
     std::size_t in_flight() const { return server_.requests_in_flight(); }
 
--- a/lab/control.hpp
+++ b/lab/control.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Small helpers for the stand-ins' control endpoints: faults are switched by POST with a JSON object.
+/// Helpers for the control endpoints of simulated servers: faults are set by POST with a JSON object.
 #pragma once
 
 #include <functional>
@@ -9,14 +9,15 @@
 
 namespace anisehold::lab {
 
-/// Path of every stand-in's control endpoint.
+/// Path of the control endpoint of every simulated server.
 inline constexpr const char* kControlPath = "/lab/faults";
 
-/// Parses the body as a JSON object and applies it; answers 200, or 400 if it isn't one.
+/// Parses the body as a JSON object and applies it; responds with 200, or with 400 if the body isn't an
+/// object.
 net::HttpResponse apply_control(const net::HttpRequest& request,
                                 const std::function<void(const nlohmann::json&)>& apply);
 
-/// A JSON answer.
+/// Returns a JSON response.
 net::HttpResponse json_answer(unsigned status, const nlohmann::json& object);
 
 }  // namespace anisehold::lab
--- a/lab/deployment.cpp
+++ b/lab/deployment.cpp
@@ -59,11 +59,11 @@
     }
     for (const auto& kind : deployment.kinds) {
         if (deployment.service(kind.service) == nullptr) {
-            return "kind " + kind.name + ": service " + kind.service + " is not there";
+            return "kind " + kind.name + ": service " + kind.service + " does not exist";
         }
         for (const auto& called : kind.calls) {
             if (deployment.kind(called) == nullptr) {
-                return "kind " + kind.name + ": called kind " + called + " is not there";
+                return "kind " + kind.name + ": called kind " + called + " does not exist";
             }
         }
     }
--- a/lab/latency_histogram.hpp
+++ b/lab/latency_histogram.hpp
@@ -1,15 +1,15 @@
 /// @file
-/// Latencies in a logarithmic histogram.
+/// Logarithmic histogram of latencies.
 #pragma once
 
 #include <boost/histogram.hpp>
 
 namespace anisehold::lab {
 
-/// Milliseconds from 0.01 to 100,000 with bins 2 % wide.
+/// Covers 0.01 to 100,000 ms with bins 2 % wide.
 class LatencyHistogram {
   public:
-    LatencyHistogram() : bins_(boost::histogram::make_histogram(Axis(kBins, kLeastMs, kMostMs))) {}
+    LatencyHistogram() : bins_(boost::histogram::make_histogram(Axis(kBins, kMinMs, kMaxMs))) {}
 
     void add(double latency_ms) {
         bins_(latency_ms);
@@ -19,7 +19,7 @@
         bins_ += other.bins_;
         count_ += other.count_;
     }
-    /// Upper edge of the bin that the percentile falls into; 0 without samples.
+    /// Returns the upper edge of the bin that contains the percentile; 0 without samples.
     double percentile_ms(double share) const {
         double seen = 0;
         for (const auto& bin : boost::histogram::indexed(bins_)) {
@@ -34,8 +34,8 @@
   private:
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
     static constexpr unsigned kBins = 814;
-    static constexpr double kLeastMs = 0.01;
-    static constexpr double kMostMs = 100'000;
+    static constexpr double kMinMs = 0.01;
+    static constexpr double kMaxMs = 100'000;
 
     decltype(boost::histogram::make_histogram(Axis(1, 1, 2))) bins_;
     unsigned long count_ = 0;
--- a/lab/load.cpp
+++ b/lab/load.cpp
@@ -20,7 +20,7 @@
 constexpr milliseconds kDefaultComeBack{200};
 constexpr unsigned kOk = 200;
 
-/// 32 hexadecimal digits that belong to this request.
+/// Returns 32 hexadecimal digits that identify the request.
 std::string trace_id_for(const std::string& id) {
     const std::string material = message_authentication_code("trace", id);
     return to_hex(material);
@@ -84,7 +84,7 @@
     for (unsigned count = 0; count <= options_.client_retries; ++count) {
         ++results_[kind.name].attempts;
         last = attempt(kind, id, deadline);
-        const auto pause = options_.hard ? kHardPause : last.come_back;
+        const auto pause = options_.hard ? kHardPause : last.retry_after;
         const bool give_up = last.final_answer || TimePoint::clock::now() + pause >= deadline;
         if (give_up) {
             break;
@@ -119,7 +119,7 @@
     const auto delay = options_.client_delay ? deployment_.client_delay_ms : milliseconds(0);
     auto request = net::make_request(kind.method, kind.path + "/" + id);
     request.fields.set(kRequestHeader, id);
-    // A retry keeps the trace id of its request, and so is known for one.
+    // A retry keeps the trace id of its request, which identifies it as a retry.
     request.fields.set(header::kTraceParent, make_trace_parent(trace_id_for(id), "0000000000000001"));
     if (kind.keyed) {
         request.fields.set(header::kIdempotencyKey, id);
@@ -140,10 +140,10 @@
         result.not_run = !progress.request_started && options_.client_retries == 0;
         return result;
     }
-    return judge(kind, id, *response);
+    return classify(kind, id, *response);
 }
 
-Load::Attempt Load::judge(const KindSpec& kind, const std::string& id, net::HttpResponse& response) const {
+Load::Attempt Load::classify(const KindSpec& kind, const std::string& id, net::HttpResponse& response) const {
     Attempt result;
     if (response.status != kOk) {
         const auto execution = response.fields.find(header::kExecution).value_or("");
@@ -154,7 +154,7 @@
         result.not_run = execution == "not-run";
         result.final_answer =
             !net::is_server_error(response.status) && response.status != 409 && response.status != 408;
-        result.come_back = come_back_after(response);
+        result.retry_after = come_back_after(response);
         return result;
     }
     std::error_code error;
--- a/lab/load.hpp
+++ b/lab/load.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The load generator: open-loop arrivals by kind, clients that retry, every answer checked.
+/// The load generator: open-loop arrivals by kind, clients that retry, and a check of every response.
 #pragma once
 
 #include <map>
@@ -18,24 +18,24 @@
 struct LoadOptions {
     double rate_per_second = 100;
     milliseconds duration_ms{10'000};
-    std::string only_kind;  ///< Only this kind; empty for the deployment's mix.
+    std::string only_kind;  ///< Sends only this kind; empty for the deployment's mix.
     unsigned client_retries = 0;
-    bool hard = false;  ///< Retries come at once; else after the time that the answer names.
-    milliseconds client_timeout_ms{5'000};  ///< For one request with all its retries.
+    bool hard = false;  ///< Retries immediately; otherwise after the time that the response names.
+    milliseconds client_timeout_ms{5'000};  ///< Timeout of one request with all its retries.
     std::string id_prefix = "r";            ///< Distinguishes several load generators.
     bool client_delay = true;               ///< Whether the deployment's client delay is simulated.
 };
 
-/// How a client's request ended.
+/// Result of a client's request.
 enum class RequestOutcome { kWhole, kRefused, kFailed, kWrong };
 
-/// Runs the load once and reports.
+/// Runs the load once and prints a summary.
 class Load {
   public:
     Load(boost::asio::io_context& io, Deployment deployment, LoadOptions options, CallTargets targets);
 
-    /// Blocks until all requests have ended; prints a JSON summary to standard output. Returns false if an
-    /// answer was wrong.
+    /// Blocks until all requests have ended and prints a JSON summary to standard output. Returns false if a
+    /// response was wrong.
     bool run();
 
   private:
@@ -50,15 +50,15 @@
     };
     struct Attempt {
         RequestOutcome outcome = RequestOutcome::kFailed;
-        bool final_answer = false;  ///< Asking again can't help.
-        bool not_run = false;       ///< The answer says that nothing was run.
-        milliseconds come_back{100};
+        bool final_answer = false;  ///< A retry can't succeed.
+        bool not_run = false;       ///< The response states that nothing was run.
+        milliseconds retry_after{100};
     };
 
     const KindSpec& pick_kind();
     void run_request(const KindSpec& kind, const std::string& id);
     Attempt attempt(const KindSpec& kind, const std::string& id, TimePoint deadline);
-    Attempt judge(const KindSpec& kind, const std::string& id, net::HttpResponse& response) const;
+    Attempt classify(const KindSpec& kind, const std::string& id, net::HttpResponse& response) const;
     void print_summary() const;
 
     Deployment deployment_;
--- a/lab/machines.hpp
+++ b/lab/machines.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A stand-in for the platform's machine list.
+/// A simulated machine list of the platform.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,7 +8,7 @@
 
 namespace anisehold::lab {
 
-/// Serves the list that POST /lab/list gave it last; an empty one before.
+/// Serves the list last set by POST /lab/list; initially an empty one.
 class Machines {
   public:
     explicit Machines(boost::asio::io_context& io);
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// `anisehold-lab`: stand-ins, load and faults for tests and demos. Never needed in production.
+/// `anisehold-lab`: simulated servers, load and faults for tests and demos. Not used in production.
 
 #include <CLI/CLI.hpp>
 #include <boost/fiber/operations.hpp>
@@ -22,7 +22,7 @@
 constexpr int kFailed = 1;
 constexpr int kUsage = 2;
 constexpr milliseconds kDrainPoll{20};
-/// A draining back end stays up at least this long, so that callers notice.
+/// Minimum time for which a draining back end stays up, so that callers notice the drain.
 constexpr milliseconds kDrainLinger{1'000};
 
 bool read_endpoint(const std::string& name, const std::string& text, Endpoint& endpoint) {
@@ -52,7 +52,7 @@
     return !error;
 }
 
-/// What the command line gave; each command reads its own part.
+/// Command-line options; each command reads the ones it needs.
 struct Options {
     std::string listen;
     std::string deployment_file;
@@ -75,7 +75,7 @@
            parse_service_targets(options.services, targets);
 }
 
-/// Serves with a stand-in until a stop signal comes.
+/// Runs a simulated server until a stop signal arrives.
 template <typename StandIn>
 int serve(net::EventLoop& loop, const Options& options) {
     Endpoint listen;
@@ -146,7 +146,7 @@
     net::exit_process(kDone);
 }
 
-/// Replays a trace and compares with the stated outcomes; prints each kind's.
+/// Replays a trace, compares it with the stated outcomes, and prints the outcome of each kind.
 int run_replay(net::EventLoop& /*loop*/, const Options& options) {
     auto deployment = load_deployment(options.deployment_file);
     const auto trace = load_trace(options.trace_file);
@@ -163,10 +163,10 @@
     bool as_stated = true;
     for (const auto& wanted : *stated) {
         const auto whole = outcomes[wanted.kind].whole;
-        const bool good = whole >= wanted.least_whole && whole <= wanted.most_whole;
+        const bool good = whole >= wanted.min_whole && whole <= wanted.max_whole;
         as_stated = as_stated && good;
         std::cout << (good ? "as stated: " : "NOT as stated: ") << wanted.kind << " whole=" << whole
-                  << ", stated " << wanted.least_whole << " to " << wanted.most_whole << "\n";
+                  << ", stated " << wanted.min_whole << " to " << wanted.max_whole << "\n";
     }
     return as_stated ? kDone : kFailed;
 }
--- a/lab/platform_server.cpp
+++ b/lab/platform_server.cpp
@@ -21,7 +21,7 @@
 constexpr milliseconds kLongestHang{30'000};
 constexpr milliseconds kDefaultDeadline{5'000};
 
-/// A body whose reading fails at once: the connection is cut instead of an answer's end.
+/// A body source that fails at once, so that the connection is closed before the end of the response.
 class CutBody final : public net::BodyReader {
   public:
     std::size_t read(char* /*data*/, std::size_t /*size*/, std::error_code& error) override {
@@ -85,11 +85,11 @@
     server_ = make_listener();
     net::EventLoop::spawn([this] {
         boost::this_fiber::sleep_for(options_.down_time);
-        come_back();
+        restart();
     });
 }
 
-void PlatformServer::come_back() {
+void PlatformServer::restart() {
     if (!options_.keeps_instance) {
         options_.instance += "-" + std::to_string(++starts_);
     }
@@ -211,16 +211,16 @@
     ++arrivals_;
     const auto id = text_of(request, "Request-Id");
     const bool misdirected = text_of(request, "Expected-Instance") != options_.instance;
-    const bool declined = faults.declines || running_ >= options_.slots;
+    const bool refused = faults.declines || running_ >= options_.slots;
     if (observer_) {
         observer_({text_of(request, "Expected-Instance"), options_.service, id, request.target,
-                   !misdirected && !declined, text_of(request, "Tenant"),
+                   !misdirected && !refused, text_of(request, "Tenant"),
                    request.fields.find("Authorization").has_value()});
     }
     if (misdirected) {
         return answer(kMisdirected, id, "");
     }
-    if (declined) {
+    if (refused) {
         auto refusal = answer(kUnavailable, id, "");
         if (faults.refusals_are_bare) {
             refusal.fields.remove("Server-Limit");
@@ -260,7 +260,7 @@
         boost::this_fiber::sleep_for(kPoll);
     }
     const bool calls_served = make_calls(id, deadline);
-    running_ -= running_ > 0 ? 1 : 0;  // A crash meanwhile began to count anew.
+    running_ -= running_ > 0 ? 1 : 0;  // A crash in the meantime has reset the count.
     if (faults.loses_answers) {
         return cut_answer();
     }
--- a/lab/platform_server.hpp
+++ b/lab/platform_server.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A stand-in for an application server on the platform: registers by heartbeat, runs requests in its slots,
-/// makes calls of its own, and fails in the ways that the platform's servers do.
+/// A simulated application server of the platform: registers by heartbeat, runs requests in its slots, makes
+/// calls, and injects the faults of the platform's servers.
 #pragma once
 
 #include <functional>
@@ -16,21 +16,21 @@
 
 namespace anisehold::lab {
 
-/// A call that a server makes for each request that it runs.
+/// A call that a server makes for each request.
 struct NestedCall {
     std::string host;
     std::string target;
 };
 
-/// A request that came to a server.
+/// A request that arrived at a server.
 struct ServerArrival {
-    std::string instance;  ///< The one that the sender expects.
+    std::string instance;  ///< Instance that the sender expects.
     std::string service;
     std::string id;
     std::string target;
-    bool runs = false;       ///< Otherwise the server declined it and said so.
-    std::string tenant;      ///< The one that the request names; empty if it names none.
-    bool shows_key = false;  ///< The caller's key came along.
+    bool runs = false;       ///< False if the server refused the request and reported so.
+    std::string tenant;      ///< Tenant named in the request; empty if none is named.
+    bool shows_key = false;  ///< The request carries the caller's key.
 };
 
 struct PlatformServerOptions {
@@ -38,62 +38,62 @@
     std::string service;
     std::string zone;
     Endpoint listen;
-    Endpoint registered;  ///< What its heartbeats name: `listen`, or a forwarder before it.
-    Endpoint control;     ///< Where heartbeats go.
-    Endpoint outbound;    ///< Where its own calls go.
+    Endpoint registered;  ///< Address in its heartbeats: `listen`, or a forwarder in front of it.
+    Endpoint control;     ///< Target of the heartbeats.
+    Endpoint outbound;    ///< Target of the server's own calls.
     unsigned slots = 8;
     milliseconds work{5};
     milliseconds heartbeat_interval{200};
-    milliseconds fatal_after{40};   ///< How long a fatal request runs before the server ends.
-    milliseconds down_time{2'500};  ///< How long it is gone after a crash.
-    bool keeps_instance = false;    ///< Whether it comes back under the id that it had.
+    milliseconds fatal_after{40};   ///< Time from the start of a fatal request to the crash.
+    milliseconds down_time{2'500};  ///< Downtime after a crash.
+    bool keeps_instance = false;    ///< The server restarts with the same instance id.
     std::vector<NestedCall> calls;
 };
 
-/// What goes wrong at a server.
+/// Faults of a server.
 struct PlatformServerFaults {
-    bool declines = false;           ///< Runs nothing and says so.
-    bool loses_answers = false;      ///< Runs requests and closes the connection.
-    bool forgets_signature = false;  ///< Answers without its signature.
-    bool answers_another = false;    ///< Answers with another request's id.
-    bool hangs = false;              ///< Takes requests and answers nothing.
-    std::string rate_limit;          ///< Named as it stands in all answers, unless it is empty.
-    bool refusals_are_bare = false;  ///< Refusals say nothing of the server beyond that they ran nothing.
-    bool says_leaving = false;       ///< All answers say that it leaves; its heartbeats don't.
-    /// A request whose target holds this text ends the server that begins it; none does if it is empty.
+    bool declines = false;           ///< Refuses all requests, and reports that they didn't run.
+    bool loses_answers = false;      ///< Runs requests, but closes the connection without a response.
+    bool forgets_signature = false;  ///< Responds without the server's signature.
+    bool answers_another = false;    ///< Responds with the id of another request.
+    bool hangs = false;              ///< Accepts requests, but never responds.
+    std::string rate_limit;          ///< Rate limit sent verbatim in all responses, unless empty.
+    bool refusals_are_bare = false;  ///< Refusals carry no header but that the request didn't run.
+    bool says_leaving = false;  ///< All responses announce that the server is leaving; its heartbeats don't.
+    /// Crashes the server on each request whose target contains this text; disabled if empty.
     std::string fatal_target;
 };
 
-/// Serves one server.
+/// Runs one server.
 class PlatformServer {
   public:
     PlatformServer(boost::asio::io_context& io, PlatformServerOptions options);
     std::error_code start();
 
-    /// Says that it is draining; true once that is acknowledged.
+    /// Announces draining; returns true once the announcement is acknowledged.
     bool drain();
-    /// Says that it leaves.
+    /// Deregisters the server.
     void leave() { deregister(); }
-    /// Sends a heartbeat's call with any body, as another writer might; the status of the answer, or 0.
+    /// Sends a heartbeat with any body, like another writer; returns the status of the response, or 0.
     unsigned write_entry(const std::string& instance, const std::string& body);
-    /// Goes over to another instance at the same address, as if a new server had been given it: the old one
-    /// says that it left first.
+    /// Deregisters the server and continues as another instance at the same address, as if a new server had
+    /// been given the address.
     void replace(const std::string& instance);
-    /// Ends as a process does that is killed: all connections are reset and nobody listens, for `down_time`.
+    /// Simulates a killed process: resets all connections and doesn't listen for `down_time`.
     void crash();
-    /// The observer sees each crash.
+    /// Sets a callback for each crash.
     void observe_crashes(std::function<void()> observer) { crash_observer_ = std::move(observer); }
     bool is_up() const { return is_up_; }
     const std::string& instance() const { return options_.instance; }
-    /// The observer sees each request, before it is run.
+    /// Sets a callback for each request, called before the request runs.
     void observe(std::function<void(const ServerArrival&)> observer) { observer_ = std::move(observer); }
-    /// Requests that ran, by id.
+    /// Number of runs of each request, by id.
     const std::map<std::string, unsigned>& runs() const { return runs_; }
-    /// The callers that requests named, by id of the request.
+    /// Callers named in requests, by id of the request.
     const std::map<std::string, std::string>& callers() const { return callers_; }
-    /// The tenants that requests named, by id of the request; empty where none was.
+    /// Tenants named in requests, by id of the request; empty if none was named.
     const std::map<std::string, std::string>& tenants() const { return tenants_; }
-    /// Requests that came with their caller's key.
+    /// Number of requests with their caller's key.
     std::size_t keys_seen() const { return keys_seen_; }
     unsigned most_running() const { return most_running_; }
     std::size_t arrivals() const { return arrivals_; }
@@ -102,15 +102,15 @@
 
   private:
     std::unique_ptr<net::HttpServer> make_listener();
-    void come_back();
+    void restart();
     net::HttpResponse handle(net::HttpRequest& request, net::CancelSignal& cancel);
     net::HttpResponse run(const net::HttpRequest& request, const std::string& id, net::CancelSignal& cancel);
-    /// Counts that a request runs.
+    /// Counts the run of a request.
     void count_run(const net::HttpRequest& request, const std::string& id);
     bool is_fatal(const std::string& target) const;
     net::HttpResponse answer(unsigned status, const std::string& id, const std::string& body) const;
     net::HttpResponse answer_health() const;
-    /// Adds what the server says of itself in every answer.
+    /// Adds the headers that the server sends in every response.
     void write_notice(net::HttpResponse& response) const;
     bool make_calls(const std::string& id, TimePoint deadline);
     bool send_heartbeat(bool draining);
--- a/lab/platform_store.cpp
+++ b/lab/platform_store.cpp
@@ -211,7 +211,7 @@
 }
 
 net::HttpResponse PlatformStore::list(const Parameters& parameters) const {
-    constexpr std::size_t page = 3;  // Small, so that tests see more than one.
+    constexpr std::size_t page = 3;  // Small, so that tests read several pages.
     const auto prefix = parameter(parameters, "pathPrefix");
     const auto after = parameter(parameters, "after");
     json items = json::array();
--- a/lab/platform_store.hpp
+++ b/lab/platform_store.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A stand-in for the platform's metadata store: revisions, conditions, leases, watches, and the ways in
-/// which it fails. Written from the published protocol.
+/// A simulated metadata store of the platform: revisions, conditions, leases, watches and injected faults.
+/// Implemented from the published protocol.
 #pragma once
 
 #include <cstdint>
@@ -16,41 +16,41 @@
 
 namespace anisehold::lab {
 
-/// What goes wrong at the store.
+/// Faults of the store.
 struct PlatformStoreFaults {
-    bool refuses = false;        ///< Every call gets 503; nothing is done.
-    bool throttles = false;      ///< Every call gets 429; nothing is done.
-    bool loses_answers = false;  ///< Writes are done and not answered.
-    bool is_silent = false;      ///< Calls are taken and never answered.
-    milliseconds delay{0};       ///< Before every answer.
+    bool refuses = false;        ///< Every call gets 503 and has no effect.
+    bool throttles = false;      ///< Every call gets 429 and has no effect.
+    bool loses_answers = false;  ///< Writes take effect but get no response.
+    bool is_silent = false;      ///< Calls are accepted but get no response.
+    milliseconds delay{0};       ///< Delay before every response.
 };
 
-/// Serves the store's calls.
+/// Serves the store in memory.
 class PlatformStore {
   public:
     explicit PlatformStore(boost::asio::io_context& io);
     std::error_code start(const Endpoint& endpoint);
 
-    /// The operator's write; returns its revision.
+    /// Writes as the operator; returns the revision of the write.
     std::uint64_t put(const std::string& key, const std::string& value);
-    /// Another writer's item, whose value isn't base64.
+    /// Writes an item whose value isn't base64, like another writer.
     void put_unreadable(const std::string& key) { store(key, "%%%", 0); }
-    /// Drops all history, so that waiting and later watches from before get 410.
+    /// Drops the history, so that watches from earlier revisions, pending or new, get 410.
     void forget_history();
-    /// Takes keys away; no call shows it.
+    /// Removes the keys with this prefix without a trace in the history.
     void lose_below(const std::string& prefix);
-    /// Ends all leases, and their keys with them.
+    /// Ends all leases and removes their keys.
     void end_leases();
     std::size_t keys_below(const std::string& prefix) const;
     std::uint64_t calls() const { return calls_; }
-    /// Of these, reads that may be stale, which cost a tenth.
+    /// Calls that are reads which may be stale; each costs a tenth of a call.
     std::uint64_t stale_reads() const { return stale_reads_; }
 
     PlatformStoreFaults faults;
 
   private:
     struct Item {
-        std::string value;  ///< As it came: base64.
+        std::string value;  ///< Base64, as received.
         std::uint64_t revision = 0;
         std::uint64_t created = 0;
         std::uint64_t lease = 0;
--- a/lab/proxy.cpp
+++ b/lab/proxy.cpp
@@ -1,5 +1,5 @@
 #include <utility>
-// <utility> comes first: Boost 1.74's Asio needs std::exchange under C++20.
+// <utility> must precede the Asio headers: Asio of Boost 1.74 needs std::exchange under C++20.
 #include <array>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -87,9 +87,9 @@
             std::size_t count = result.bytes;
             bool cut_now = false;
             if (to_client && faults.cut_after_bytes >= 0) {
-                const auto room = std::max(0LL, faults.cut_after_bytes - link.bytes_to_client);
-                cut_now = static_cast<long long>(count) >= room;
-                count = std::min(count, static_cast<std::size_t>(room));
+                const auto remaining = std::max(0LL, faults.cut_after_bytes - link.bytes_to_client);
+                cut_now = static_cast<long long>(count) >= remaining;
+                count = std::min(count, static_cast<std::size_t>(remaining));
                 link.bytes_to_client += static_cast<long long>(count);
             }
             result = net::await_io([&](auto handler) {
--- a/lab/proxy.hpp
+++ b/lab/proxy.hpp
@@ -12,15 +12,15 @@
 
 namespace anisehold::lab {
 
-/// What goes wrong on the link. Set through the control endpoint by the names of the members.
+/// Faults of the link. Set through the control endpoint by the names of the members.
 struct LinkFaults {
-    bool cut = false;                ///< New connections are closed at once; open ones were closed.
-    bool frozen = false;             ///< Nothing is passed on, either way, until thawed.
-    long long delay_ms = 0;          ///< Each chunk is passed on this much later.
-    long long cut_after_bytes = -1;  ///< Each connection is cut after this many bytes towards the client.
+    bool cut = false;                ///< Closes all open connections, and new ones at once.
+    bool frozen = false;             ///< Forwards nothing in either direction until thawed.
+    long long delay_ms = 0;          ///< Delay of each chunk.
+    long long cut_after_bytes = -1;  ///< Closes each connection after this many bytes towards the client.
 };
 
-/// Passes connections on from one address to another.
+/// Forwards connections from one address to another.
 class Proxy {
   public:
     Proxy(boost::asio::io_context& io, Endpoint target);
--- a/lab/replay.cpp
+++ b/lab/replay.cpp
@@ -20,8 +20,8 @@
 constexpr std::uint16_t kFirstPort = 10'000;
 constexpr unsigned kUnlimited = 100'000;
 constexpr unsigned kInitialLimit = 8;
-constexpr double kLeastWork = 0.7;
-constexpr double kMostWork = 1.3;
+constexpr double kMinWork = 0.7;
+constexpr double kMaxWork = 1.3;
 
 TimePoint start_of_time() {
     return TimePoint(std::chrono::hours(1));
@@ -33,7 +33,7 @@
     return {std::move(record), 1};
 }
 
-/// The records of a CSV file; nothing, after a message, if it can't be read.
+/// Returns the records of a CSV file; if it can't be read, prints a message and returns nothing.
 std::optional<std::vector<config::CsvRecord>> load_records(const std::string& file_name) {
     std::ifstream file(file_name, std::ios::binary);
     if (!file) {
@@ -96,7 +96,7 @@
     for (const auto& record : *records) {
         StatedOutcome outcome;
         std::istringstream bounds(record.fields.size() == 3 ? record.fields[1] + " " + record.fields[2] : "");
-        if (!(bounds >> outcome.least_whole >> outcome.most_whole)) {
+        if (!(bounds >> outcome.min_whole >> outcome.max_whole)) {
             malformed(file_name, record);
             return std::nullopt;
         }
@@ -185,7 +185,7 @@
     send(call);
 }
 
-/// Picks a server and enters its gate.
+/// Chooses a server and passes the call to its gate.
 void Replay::send(const CallPointer& call) {
     for (const auto& [server, gate] : gates_) {
         registry_.on_report(now_, server, gate->load());
@@ -229,7 +229,7 @@
 }
 
 Duration Replay::work_time(const SimulatedCall& call) {
-    std::uniform_real_distribution<double> share(kLeastWork, kMostWork);
+    std::uniform_real_distribution<double> share(kMinWork, kMaxWork);
     const auto slow = slow_factors_.find(call.kind->service);
     const double factor = share(random_) * (slow == slow_factors_.end() ? 1.0 : slow->second);
     return std::chrono::duration_cast<Duration>(call.kind->work_ms * factor);
@@ -237,11 +237,11 @@
 
 void Replay::begin_work(const CallPointer& call) {
     ledger_.open(ledger_name(*call), {0, call->deadline, call->root_started});
-    schedule(now_ + work_time(*call), [this, call] { go_on(call); });
+    schedule(now_ + work_time(*call), [this, call] { continue_call(call); });
 }
 
-/// Makes the next nested call, or answers.
-void Replay::go_on(const CallPointer& call) {
+/// Makes the next nested call, or completes the call.
+void Replay::continue_call(const CallPointer& call) {
     if (now_ >= call->deadline) {
         leave_gate(call, SampleOutcome::kTimeout);
         complete(call, "");
@@ -304,7 +304,7 @@
         return;
     }
     ++parent->next_nested;
-    go_on(parent);
+    continue_call(parent);
 }
 
 }  // namespace anisehold::lab
--- a/lab/replay.hpp
+++ b/lab/replay.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Replays a recorded trace of arrivals in virtual time through the product's decision classes.
+/// Replays a recorded trace of arrivals in virtual time with the real decision classes.
 #pragma once
 
 #include <functional>
@@ -21,42 +21,42 @@
 
 namespace anisehold::lab {
 
-/// One line of a trace: a root request that came in, or a change of a service's speed.
+/// One line of a trace: a root request, or a change of a service's speed.
 struct TraceEvent {
     microseconds at{0};
-    std::string kind;     ///< Of a request; empty for a change of speed.
-    std::string zone;     ///< Where the request came in.
-    std::string service;  ///< Whose speed changes.
+    std::string kind;     ///< Kind of the request; empty for a change of speed.
+    std::string zone;     ///< Zone in which the request arrived.
+    std::string service;  ///< Service whose speed changes.
     double slow_factor = 1;
 };
 
-/// Reads a trace: CSV lines "MICROSECONDS,request,KIND,ZONE" and "MICROSECONDS,slow,SERVICE,FACTOR".
-/// Nothing, after a message to standard error, if a line is malformed.
+/// Reads a trace: CSV lines "MICROSECONDS,request,KIND,ZONE" and "MICROSECONDS,slow,SERVICE,FACTOR". If a
+/// line is malformed, prints a message to standard error and returns nothing.
 std::optional<std::vector<TraceEvent>> load_trace(const std::string& file_name);
 
-/// What became of the requests of one kind.
+/// Results of the requests of one kind.
 struct ReplayOutcome {
     unsigned sent = 0;
     unsigned whole = 0;
-    unsigned refused_early = 0;  ///< At the ingress, before any work.
-    unsigned refused = 0;        ///< At a gate, for the request or a call below it.
+    unsigned refused_early = 0;  ///< Rejected at the ingress, before any work.
+    unsigned refused = 0;        ///< Refused at a gate, for the request itself or a nested call.
 
     bool operator==(const ReplayOutcome&) const = default;
 };
 using ReplayOutcomes = std::map<std::string, ReplayOutcome>;
 
-/// One stated outcome: bounds of what a replay must give.
+/// Expected bounds of the outcome of one kind.
 struct StatedOutcome {
     std::string kind;
-    unsigned least_whole = 0;
-    unsigned most_whole = 0;
+    unsigned min_whole = 0;
+    unsigned max_whole = 0;
 };
 
 /// Reads stated outcomes: CSV lines "KIND,LEAST_WHOLE,MOST_WHOLE".
 std::optional<std::vector<StatedOutcome>> load_stated_outcomes(const std::string& file_name);
 
-/// A deployment in virtual time: its table, servers with slots, and one ingress per zone. The same trace
-/// gives the same outcomes every time.
+/// Simulates a deployment in virtual time: its table, servers with slots, and one ingress per zone.
+/// Deterministic for a trace.
 class Replay {
   public:
     Replay(Deployment deployment, config::MechanismSet mechanisms);
@@ -92,7 +92,7 @@
     void send(const CallPointer& call);
     void enter_gate(const CallPointer& call);
     void begin_work(const CallPointer& call);
-    void go_on(const CallPointer& call);
+    void continue_call(const CallPointer& call);
     void leave_gate(const CallPointer& call, admission::SampleOutcome outcome);
     void complete(const CallPointer& call, const std::string& overloaded_service);
     void settle_nested(const CallPointer& call, const std::string& overloaded_service);
--- a/lab/service_caller.cpp
+++ b/lab/service_caller.cpp
@@ -5,7 +5,7 @@
 namespace anisehold::lab {
 namespace {
 
-/// A daemon that announced its stop is avoided for this long.
+/// Time for which a daemon that announced its stop is avoided.
 constexpr seconds kAvoidClosing{5};
 constexpr milliseconds kAvoidUnreachable{200};
 
@@ -63,7 +63,7 @@
                                                             const net::ExchangeOptions& options,
                                                             net::ExchangeProgress& progress,
                                                             std::error_code& error) {
-    // First the daemons that aren't avoided, then, if need be, those that are.
+    // Tries the daemons that aren't avoided first, then the others.
     for (const bool avoided_too : {false, true}) {
         for (const auto& daemon : targets_.daemons) {
             const auto now = TimePoint::clock::now();
--- a/lab/service_caller.hpp
+++ b/lab/service_caller.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How the lab's clients and back ends call a service: through the daemons, or straight to its servers.
+/// Calls services for the lab's clients and back ends: through the daemons, or directly at the servers.
 #pragma once
 
 #include <map>
@@ -13,14 +13,14 @@
 
 namespace anisehold::lab {
 
-/// Where calls go.
+/// Targets of calls.
 struct CallTargets {
-    std::vector<Endpoint> daemons;                          ///< Nearest first; empty for direct calls.
+    std::vector<Endpoint> daemons;  ///< Daemons, nearest first; empty for direct calls.
     std::map<std::string, std::vector<Endpoint>> services;  ///< Servers by service, for direct calls.
-    std::size_t connections = 1024;                         ///< Per target.
+    std::size_t connections = 1024;                         ///< Maximum connections per target.
 };
 
-/// Parses "service=IP:PORT,IP:PORT" entries into `targets.services`; false if one is malformed.
+/// Parses "service=IP:PORT,IP:PORT" entries into `targets.services`; returns false if one is malformed.
 bool parse_service_targets(const std::vector<std::string>& entries, CallTargets& targets);
 
 /// Calls services by name.
@@ -29,8 +29,8 @@
     ServiceCaller(boost::asio::io_context& io, CallTargets targets, std::uint64_t random_seed);
 
     bool direct() const { return targets_.daemons.empty(); }
-    /// One attempt. A daemon that can't be connected to is passed over; one that says it is closing is
-    /// avoided for a while.
+    /// Makes one attempt. Skips daemons that refuse connections; avoids a daemon that announced its stop for
+    /// a while.
     std::optional<net::HttpResponse> call(const std::string& service, net::HttpRequest& request,
                                           const net::ExchangeOptions& options,
                                           net::ExchangeProgress& progress, std::error_code& error);
--- a/lab/store.cpp
+++ b/lab/store.cpp
@@ -43,7 +43,7 @@
     return end.empty() ? key == first : key >= first && key < end;
 }
 
-/// A body that breaks off at once: the connection is cut in place of an answer.
+/// A body source that fails at once, so that the connection is closed in place of a response.
 class CutBody final : public net::BodyReader {
   public:
     std::size_t read(char* /*data*/, std::size_t /*size*/, std::error_code& error) override {
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-/// Streams changes as lines of JSON for as long as the client listens.
+/// Streams changes as JSON lines until the client disconnects.
 class Store::WatchReader final : public net::BodyReader {
   public:
     WatchReader(Store& store, std::string first, std::string end, std::uint64_t next_revision)
@@ -73,7 +73,7 @@
                 std::unique_lock lock(store_.mutex_);
                 store_.changed_.wait_for(lock, kWatchKeepAlive);
                 collect();
-                // An empty line finds out whether the client is still there.
+                // An empty line detects whether the client is still connected.
                 pending_ += pending_.empty() ? "\n" : "";
             }
         }
--- a/lab/store.hpp
+++ b/lab/store.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A stand-in for the platform's key-value store: the etcd v3 JSON gateway, as far as the product uses it,
-/// with faults.
+/// A simulated key-value store of the platform: the part of the etcd v3 JSON gateway that the daemon uses,
+/// with injected faults.
 #pragma once
 
 #include <boost/fiber/condition_variable.hpp>
@@ -16,11 +16,11 @@
 
 namespace anisehold::lab {
 
-/// What goes wrong. Set through the control endpoint by the names of the members.
+/// Faults of the store. Set through the control endpoint by the names of the members.
 struct StoreFaults {
-    bool outage = false;        ///< Every request is answered 503.
-    bool lose_answers = false;  ///< Writes take effect, and the connection is cut before the answer.
-    long long stale_by = 0;     ///< Ranges are answered as of this many revisions ago.
+    bool outage = false;        ///< Every request gets 503.
+    bool lose_answers = false;  ///< Writes take effect, but the connection is closed before the response.
+    long long stale_by = 0;     ///< Age, in revisions, of the data in range responses.
 };
 
 /// Serves one store in memory.
