--- a/src/retry/attempt_plan.cpp
+++ b/src/retry/attempt_plan.cpp
@@ -5,16 +5,16 @@
 namespace anisehold::retry {
 namespace {
 
-/// Most attempts without reaching a server that one request makes. Chosen, not measured.
-constexpr unsigned kMostUnsent = 12;
-/// How often servers are looked for while none is known. Chosen, not measured.
+/// Maximum number of attempts of one request that reach no server.
+constexpr unsigned kMaxUnsentAttempts = 12;
+/// Polling interval while no server is known.
 constexpr milliseconds kServerPoll{10};
-/// How often a slow attempt looks for another server while there is none to join it. Guards against a loop:
-/// with the wait for a moment that was past, 2,172 samples of a profile of 8 s of the soak's sidecars were in
-/// it, 460 of one of 7 s with this pause. The value is chosen, not measured.
+/// Polling interval of a slow attempt while no other server is available for a hedge. Prevents a busy loop:
+/// when the wait ended at a time in the past, the loop took 2,172 samples of a profile of 8 s of the soak's
+/// sidecars, and 460 samples of a profile of 7 s with this interval.
 constexpr milliseconds kHedgePoll{50};
-/// A retry isn't worth starting with less time left. Chosen, not measured.
-constexpr milliseconds kLeastTimeToRetry{20};
+/// Minimum remaining time for starting a retry.
+constexpr milliseconds kMinTimeToRetry{20};
 
 }  // namespace
 
@@ -29,7 +29,7 @@
     if (now >= terms_.deadline) {
         return AttemptStep::kTimeUp;
     }
-    const bool time_to_retry = now + kLeastTimeToRetry < terms_.deadline;
+    const bool time_to_retry = now + kMinTimeToRetry < terms_.deadline;
     if (running_ > 0) {
         const bool overdue = now - last_launch_ >= terms_.hedge_after;
         const bool hedge =
@@ -42,8 +42,8 @@
     }
     if (reached_ == 0) {
         const bool in_time = launched_ == 0 || now < terms_.refuse_unsent_at;
-        const bool goes_on = another_server && in_time && launched_ < kMostUnsent;
-        return goes_on ? AttemptStep::kLaunch : AttemptStep::kRefuse;
+        const bool may_launch = another_server && in_time && launched_ < kMaxUnsentAttempts;
+        return may_launch ? AttemptStep::kLaunch : AttemptStep::kRefuse;
     }
     const bool may_go_on = has_not_run || terms_.may_retry;
     if (may_go_on && time_to_retry && retry_allowed(another_server)) {
@@ -69,8 +69,8 @@
     if (!may_hedge) {
         return terms_.deadline;
     }
-    // Once the time has come and nothing was launched, there is no other server for now, or too little time
-    // is left. Waiting for a moment that is past would be a loop that takes the whole processor.
+    // After the hedge time has passed without a launch, no other server is available at present, or too
+    // little time is left. A wait until a time in the past would be a busy loop.
     const auto hedge_at = last_launch_ + terms_.hedge_after;
     return std::min<TimePoint>(terms_.deadline, now < hedge_at ? hedge_at : now + kHedgePoll);
 }
--- a/src/retry/attempt_plan.hpp
+++ b/src/retry/attempt_plan.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// When one request of the sidecar is sent to a server, sent again, waited for or given up.
+/// Decides when one request of the sidecar is sent, retried, hedged, waited for or abandoned.
 ///
-/// The plan owns the count of a request's attempts and how they ended. It relies on its caller
-/// (sidecar/call_attempts) to choose servers, to ask the WindowBudget before each retry, and to report each
-/// launch and each end once. Pure.
+/// The plan owns the number of the request's attempts and their outcomes. Its caller (sidecar/call_attempts)
+/// chooses servers, asks the WindowBudget before each retry, and reports each launch and each outcome once.
+/// Pure.
 #pragma once
 
 #include "protocol/time_types.hpp"
@@ -11,66 +11,66 @@
 
 namespace anisehold::retry {
 
-/// What bounds the attempts of one request.
+/// Limits on the attempts of one request.
 struct AttemptTerms {
     bool may_retry = false;    ///< The request may run more than once.
-    unsigned max_servers = 1;  ///< Most servers that the request may reach.
+    unsigned max_servers = 1;  ///< Maximum number of servers that the request may reach.
     TimePoint deadline;
-    /// A request that reached no server until then is refused: its caller gets a time to come back, which
-    /// serves it better than a wait in one queue after the other.
+    /// A request that has reached no server by this time is refused with a Retry-After time, which serves the
+    /// caller better than waiting in one queue after another.
     TimePoint refuse_unsent_at = TimePoint::max();
-    Duration hedge_after{};  ///< An attempt that takes longer is joined by another one.
-    /// Until then servers may come to be known, and a request for which there is none waits.
+    Duration hedge_after{};  ///< An attempt that takes longer is hedged by a second one.
+    /// Server discovery may still be incomplete until this time, so a request without a server waits.
     TimePoint servers_known_at = TimePoint::min();
-    bool may_hedge = true;  ///< Off only in the lab.
+    bool may_hedge = true;  ///< Disabled only in the lab.
 };
 
 /// How one attempt ended.
 enum class AttemptOutcome {
-    kAnswered,         ///< A whole answer that is good.
-    kFailedAnswer,     ///< The server's own answer, which says that it failed.
+    kAnswered,         ///< A complete, successful response.
+    kFailedAnswer,     ///< The server's own response, which reports a failure.
     kNotSent,          ///< Refused before any server was reached.
-    kRefusedByServer,  ///< Reached a server, which declared that it ran nothing.
+    kRefusedByServer,  ///< Reached a server, which stated that it did not run the request.
     kUnknown,          ///< May have run.
 };
 
 enum class AttemptStep {
-    kLaunch,       ///< Send it; no server was reached yet.
-    kLaunchRetry,  ///< Send it again, if the budget has a retry.
+    kLaunch,       ///< Send the request; no server has been reached yet.
+    kLaunchRetry,  ///< Send the request again if the budget allows a retry.
     kWait,
-    kDeliver,  ///< Give the answer.
-    kRefuse,   ///< It has not run and won't: refuse with a time to come back.
-    kFail,     ///< It may have run and has no answer.
+    kDeliver,  ///< Deliver the response.
+    kRefuse,   ///< The request has not run and will not run: refuse it with a Retry-After time.
+    kFail,     ///< The request may have run and has no response.
     kTimeUp,
 };
 
-/// The plan of one request. Asked in this order:
-/// 1. Is there a good answer? Deliver it.
-/// 2. Is the deadline past? Time is up.
-/// 3. Does an attempt run? Wait; join it by another one if it is slow and the terms allow that.
-/// 4. Was nothing sent, and is no server known yet? Wait for one.
-/// 5. Was no server reached? Launch again if another server is there and it isn't too late, else refuse.
-/// 6. May the request go on, because it has not run or may run twice? Retry at another server.
-/// 7. Deliver a failed answer; refuse what has not run; fail the rest.
+/// The plan of one request. `next` applies these rules in order:
+/// 1. A good response is there: deliver it.
+/// 2. The deadline has passed: report that time is up.
+/// 3. An attempt is in flight: wait, or hedge if the attempt is slow and the terms allow a hedge.
+/// 4. Nothing was sent and no server is known yet: wait for a server.
+/// 5. No server was reached: launch again if another server is available and there is time left, else refuse.
+/// 6. The request has not run, or may run more than once: retry at another server.
+/// 7. Otherwise deliver a failed response, refuse a request that has not run, and fail all others.
 class AttemptPlan {
   public:
     explicit AttemptPlan(AttemptTerms terms) : terms_(terms) {}
 
-    /// The next step. `another_server`: some server hasn't been tried that could be.
+    /// Returns the next step. `another_server`: a server is available that has not been tried.
     AttemptStep next(TimePoint now, bool another_server) const;
-    /// When to ask again if nothing happens before, after `kWait`.
+    /// After `kWait`: when to call `next` again if no event occurs before.
     TimePoint wait_until(TimePoint now) const;
 
     void on_launched(TimePoint now);
-    /// The budget had no retry; none is asked for until an attempt has ended.
+    /// The budget had no retry; no other retry is requested until an attempt has ended.
     void on_retry_refused() { retry_refused_ = true; }
     void on_outcome(AttemptOutcome outcome);
-    /// An attempt was cancelled before it ended. One that hasn't begun to be sent never will be.
+    /// An attempt was cancelled before it ended. An attempt that had not begun to be sent is never sent.
     void on_cancelled(bool was_sent) {
         on_outcome(was_sent ? AttemptOutcome::kUnknown : AttemptOutcome::kNotSent);
     }
 
-    /// Why the next retry would be one.
+    /// The reason to give to the budget for the next retry.
     RetryReason retry_reason() const;
 
     unsigned running() const { return running_; }
--- a/src/retry/retry_budget.hpp
+++ b/src/retry/retry_budget.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Retries as a share of first attempts, in `anisehold serve`; the sidecar has WindowBudget for it.
+/// Limits retries to a share of first attempts, in `anisehold serve`. The sidecar uses WindowBudget instead.
 #pragma once
 
 #include <map>
@@ -7,16 +7,15 @@
 
 namespace anisehold::retry {
 
-/// A token bucket per table row: each first attempt adds a share of a token, each retry takes one. Keeps a
-/// failing service from being loaded by more than that share, however many requests still have an
-/// allowance. Pure.
+/// A token bucket per table row: each first attempt adds a fraction of a token, each retry takes one token.
+/// Bounds the extra load on a failing service, however many requests still have a retry allowance. Pure.
 class RetryBudget {
   public:
     void on_first_attempt(const std::string& row);
-    /// Takes a token; false if there is none.
+    /// Takes a token; false if none is available.
     bool try_retry(const std::string& row);
 
-    /// Tokens per first attempt, and the most that a row saves up. Chosen, not measured.
+    /// Tokens added per first attempt, and the capacity of a row's bucket.
     static constexpr double kShare = 0.2;
     static constexpr double kMaxTokens = 20.0;
 
--- a/src/retry/retry_ledger.cpp
+++ b/src/retry/retry_ledger.cpp
@@ -59,7 +59,7 @@
 
 DrawReply RetryLedger::lend(TimePoint now, Ledger& ledger, DrawVerdict verdict) {
     const auto loan_id = next_loan_id_++;
-    // All that is left goes down: a call's nested calls mostly run one after the other.
+    // Lends the whole remaining allowance, since a call's nested calls mostly run one after the other.
     const unsigned lent = std::exchange(ledger.remaining, 0);
     ledger.loans[loan_id] = lent;
     return {verdict, lent, loan_id, milliseconds_between(now, ledger.terms.deadline),
--- a/src/retry/window_budget.cpp
+++ b/src/retry/window_budget.cpp
@@ -5,7 +5,7 @@
 namespace anisehold::retry {
 namespace {
 
-/// What sums of many small parts may lack of a whole retry.
+/// Tolerance for rounding errors in sums of many small weights.
 constexpr double kRounding = 1e-9;
 
 }  // namespace
@@ -36,11 +36,11 @@
     add(counts.requests, now, 1 - inherited);
     add(counts.retries, now, inherited);
     const double earned = terms_.no_answer_share * terms_.ratio * (1 - inherited) - inherited;
-    counts.savings = std::clamp(counts.savings + earned, 0.0, most_savings(counts));
+    counts.savings = std::clamp(counts.savings + earned, 0.0, max_savings(counts));
 }
 
-double WindowBudget::most_savings(const Counts& counts) const {
-    // Where requests are few, one retry must still be possible.
+double WindowBudget::max_savings(const Counts& counts) const {
+    // With few requests, one retry must still be possible.
     return std::max(1.0, terms_.burst_share * terms_.ratio * counts.requests.total);
 }
 
--- a/tests/unit/retry/attempt_plan_test.cpp
+++ b/tests/unit/retry/attempt_plan_test.cpp
@@ -16,12 +16,12 @@
 
 }  // namespace
 
-TEST_CASE("the first step is to send, or to refuse when there is no server") {
+TEST_CASE("the first step is to launch, or to refuse without a server") {
     CHECK(plan(true).next(kStart, true) == AttemptStep::kLaunch);
     CHECK(plan(true).next(kStart, false) == AttemptStep::kRefuse);
 }
 
-TEST_CASE("a request that no server was reached with moves on free of charge") {
+TEST_CASE("a request that reached no server is launched again without using a retry") {
     auto request = plan(false, 1);
     request.on_launched(kStart);
     request.on_outcome(AttemptOutcome::kNotSent);
@@ -39,7 +39,7 @@
     CHECK(request.may_have_run());
 }
 
-TEST_CASE("an at-most-once request that a server declined may go to another one") {
+TEST_CASE("an at-most-once request that a server declined may be retried at another server") {
     auto request = plan(false);
     request.on_launched(kStart);
     request.on_outcome(AttemptOutcome::kRefusedByServer);
@@ -48,7 +48,7 @@
     CHECK(request.next(kStart, true) == AttemptStep::kRefuse);
 }
 
-TEST_CASE("a repeatable request is repeated after a failure, within its servers") {
+TEST_CASE("a repeatable request is retried after a failure, up to its maximum number of servers") {
     auto request = plan(true, 2);
     request.on_launched(kStart);
     request.on_outcome(AttemptOutcome::kUnknown);
@@ -58,7 +58,7 @@
     CHECK(request.next(kStart, true) == AttemptStep::kFail);
 }
 
-TEST_CASE("a server's failure answer is kept for when there is nothing better") {
+TEST_CASE("a failed response is delivered when no retry is possible") {
     auto request = plan(true, 2);
     request.on_launched(kStart);
     request.on_outcome(AttemptOutcome::kFailedAnswer);
@@ -67,7 +67,7 @@
     CHECK(request.next(kStart, true) == AttemptStep::kDeliver);
 }
 
-TEST_CASE("a slow attempt is joined by another one, and the first good answer ends it") {
+TEST_CASE("a slow attempt is hedged, and the first good response is delivered") {
     auto request = plan(true, 2);
     request.on_launched(kStart);
     CHECK(request.next(kStart + milliseconds(299), true) == AttemptStep::kWait);
@@ -80,7 +80,7 @@
     CHECK(request.next(kStart + seconds(1), true) == AttemptStep::kDeliver);
 }
 
-TEST_CASE("a refused repeat is not asked for again until something ends") {
+TEST_CASE("a retry that the budget refused is not requested again until an attempt ends") {
     auto request = plan(true, 3);
     request.on_launched(kStart);
     request.on_retry_refused();
@@ -90,7 +90,7 @@
     CHECK(request.next(kStart + seconds(1), true) == AttemptStep::kLaunchRetry);
 }
 
-TEST_CASE("nothing is started when the time is up") {
+TEST_CASE("no attempt is started after the deadline or shortly before") {
     auto request = plan(true);
     CHECK(request.next(kDeadline, true) == AttemptStep::kTimeUp);
     auto late = plan(true);
@@ -99,7 +99,7 @@
     CHECK(late.next(kDeadline - milliseconds(10), true) == AttemptStep::kFail);
 }
 
-TEST_CASE("the reason of a repeat is told") {
+TEST_CASE("the retry reason follows from the state of the attempts") {
     auto slow = plan(true);
     slow.on_launched(kStart);
     CHECK(slow.retry_reason() == RetryReason::kSlow);
@@ -111,7 +111,7 @@
     CHECK(failed.retry_reason() == RetryReason::kFailedAnswer);
 }
 
-TEST_CASE("a request that waited at gates for long is refused instead of waiting at the next") {
+TEST_CASE("a request that has waited at gates for too long is refused instead of trying the next gate") {
     AttemptPlan request({true, 2, kDeadline, kStart + milliseconds(250), milliseconds(300)});
     CHECK(request.next(kStart + milliseconds(300), true) == AttemptStep::kLaunch);
     request.on_launched(kStart);
@@ -121,7 +121,7 @@
     CHECK_FALSE(request.may_have_run());
 }
 
-TEST_CASE("while servers are still being heard of, a request waits for one, but not past its bound") {
+TEST_CASE("during server discovery a request waits for a server, up to its time limit") {
     AttemptTerms terms{true, 2, kDeadline, kStart + milliseconds(300), milliseconds(300)};
     terms.servers_known_at = kStart + seconds(1);
     const AttemptPlan request(terms);
@@ -132,13 +132,13 @@
     CHECK(request.next(kStart + milliseconds(300), false) == AttemptStep::kRefuse);
 }
 
-TEST_CASE("once servers are known, a request without one is refused at once") {
+TEST_CASE("after server discovery a request without a server is refused at once") {
     AttemptTerms terms{true, 2, kDeadline, kStart + milliseconds(300), milliseconds(300)};
     terms.servers_known_at = kStart - milliseconds(1);
     CHECK(AttemptPlan(terms).next(kStart, false) == AttemptStep::kRefuse);
 }
 
-TEST_CASE("a request whose attempts were given up may have run only if one of them was sent") {
+TEST_CASE("a request whose attempts were cancelled may have run only if one of them was sent") {
     for (const bool was_sent : {false, true}) {
         auto request = plan(false);
         request.on_launched(kStart);
@@ -156,7 +156,7 @@
     CHECK(hedged.may_have_run());
 }
 
-TEST_CASE("a slow attempt that nothing can join doesn't wait for a moment that is past") {
+TEST_CASE("a slow attempt without a possible hedge does not wait until a time in the past") {
     AttemptTerms terms{true, 2, kDeadline, TimePoint::max(), milliseconds(300)};
     terms.may_hedge = true;
     AttemptPlan slow(terms);
@@ -167,7 +167,7 @@
     REQUIRE(slow.next(overdue, false) == AttemptStep::kWait);
     CHECK(slow.wait_until(overdue) > overdue);
     CHECK(slow.wait_until(overdue) < kDeadline);
-    // One is, but too little time is left for it.
+    // Another server is known, but too little time is left for a hedge.
     const auto late = kDeadline - milliseconds(10);
     REQUIRE(slow.next(late, true) == AttemptStep::kWait);
     CHECK(slow.wait_until(late) == kDeadline);
--- a/tests/unit/retry/retry_ledger_test.cpp
+++ b/tests/unit/retry/retry_ledger_test.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("a nested call is lent what is left and returns what it didn't use") {
+TEST_CASE("a nested call borrows the remaining allowance and returns what it did not use") {
     RetryLedger ledger;
     ledger.open("call", terms(3));
     const auto loan = ledger.draw(at_ms(100), {"call", 1, true});
@@ -57,7 +57,7 @@
     CHECK(ledger.close(at_ms(1), "call").used == 1);
 }
 
-TEST_CASE("a loan that never returns counts as used, and one that returns twice only once") {
+TEST_CASE("an unsettled loan counts as used, and a second settlement has no effect") {
     RetryLedger ledger;
     ledger.open("call", terms(3));
     const auto loan = ledger.draw(at_ms(0), {"call", 1, true});
@@ -70,7 +70,7 @@
     CHECK(ledger.close(at_ms(0), "call").used == 3);
 }
 
-TEST_CASE("a non-repeatable nested call is made again only if it was not run") {
+TEST_CASE("a non-repeatable nested call is made again only if it did not run") {
     RetryLedger ledger;
     ledger.open("call", terms(3));
     const auto first = ledger.draw(at_ms(0), {"call", 1, false});
@@ -84,7 +84,7 @@
     CHECK(ledger.draw(at_ms(0), {"call", 1, false}).verdict == DrawVerdict::kNotRetryable);
 }
 
-TEST_CASE("the report tells whether a nested call may have run") {
+TEST_CASE("the report states whether a nested call may have run") {
     RetryLedger ledger;
     ledger.open("call", terms(2));
     auto first = settlement(ledger.draw(at_ms(0), {"call", 1, true}), 1, 0);
@@ -99,7 +99,7 @@
     CHECK(ledger.close(at_ms(0), "call").nested_ran);
 }
 
-TEST_CASE("the report tells whether the call made nested calls, refused ones too") {
+TEST_CASE("the report states whether the call made nested calls, including refused ones") {
     RetryLedger ledger;
     ledger.open("call", terms(2));
     CHECK_FALSE(ledger.close(at_ms(0), "call").made_calls);
@@ -112,7 +112,7 @@
     CHECK_FALSE(report.nested_ran);
 }
 
-TEST_CASE("calls that ended or were never here are told apart") {
+TEST_CASE("ended and unknown calls get different verdicts") {
     RetryLedger ledger;
     CHECK(ledger.draw(at_ms(0), {"call", 1, true}).verdict == DrawVerdict::kUnknownCall);
     ledger.open("call", terms(1));
@@ -122,9 +122,10 @@
     CHECK(ledger.size() == 0);
 }
 
-TEST_CASE("retries of all layers of a chain together stay within the allowance, whatever is lost") {
-    // Each layer makes one nested call and repeats it while it may; any answer may be lost, which makes the
-    // layer repeat and its loan stay out. Executions at the bottom are bounded by 1 + allowance.
+TEST_CASE("retries of all layers of a chain together stay within the allowance when responses are lost") {
+    // Each layer makes one nested call and retries it as long as allowed. Any response may be lost, which
+    // makes the layer retry while its loan stays unsettled. Executions at the bottom are bounded by 1 +
+    // allowance.
     constexpr unsigned chain_allowance = 3;
     constexpr int layers = 4;
     std::mt19937 random(7);
@@ -132,7 +133,7 @@
         unsigned executions = 0;
         std::uint64_t next_call = 1;
         RetryLedger ledger;
-        // Returns the retries used, or nothing when the answer is lost.
+        // Returns the retries used, or nothing if the response is lost.
         const std::function<std::optional<unsigned>(int, unsigned)> run =
             [&](int layer, unsigned allowance) -> std::optional<unsigned> {
             const auto call_id = std::to_string(next_call++);
@@ -160,7 +161,7 @@
     }
 }
 
-TEST_CASE("a client's attempt that ran nothing isn't counted") {
+TEST_CASE("a client's attempt that ran nothing is not counted") {
     RetryLedger ledger;
     ledger.open_if_absent("call", terms(1));
     for (int attempt = 0; attempt < 5; ++attempt) {
--- a/tests/unit/retry/server_refusal_test.cpp
+++ b/tests/unit/retry/server_refusal_test.cpp
@@ -5,7 +5,9 @@
 using namespace anisehold;
 using namespace anisehold::retry;
 
-TEST_CASE("a refusal proves that a call wasn't begun only where nothing speaks of work") {
+TEST_CASE(
+    "a refusal proves that a call was not begun only if it came early, within the deadline and without "
+    "nested calls") {
     CHECK(proves_not_begun({false, milliseconds(0), false}));
     CHECK(proves_not_begun({false, kMaxImmediateRefusalTime, false}));
     CHECK_FALSE(proves_not_begun({false, kMaxImmediateRefusalTime + microseconds(1), false}));
--- a/tests/unit/retry/window_budget_test.cpp
+++ b/tests/unit/retry/window_budget_test.cpp
@@ -17,7 +17,7 @@
     return {0.2, 50, milliseconds(10'000), 0.5, 0.1};
 }
 
-unsigned repeats_at(WindowBudget& budget, TimePoint now, std::size_t members) {
+unsigned retries_allowed_at(WindowBudget& budget, TimePoint now, std::size_t members) {
     unsigned count = 0;
     while (budget.try_retry(now, "s", members, RetryReason::kNoAnswer)) {
         ++count;
@@ -25,8 +25,8 @@
     return count;
 }
 
-/// Tries a repeat after each of so many requests; returns how many were allowed.
-int repeats_along(WindowBudget& budget, int requests, double inherited = 0) {
+/// Tries a retry after each of `requests` requests; returns how many were allowed.
+int retries_with_requests(WindowBudget& budget, int requests, double inherited = 0) {
     int count = 0;
     for (int request = 0; request < requests; ++request) {
         budget.on_request(kStart, "s", inherited);
@@ -43,39 +43,39 @@
     CHECK(budget.try_retry(kStart + seconds(10), "s", 1, RetryReason::kNoAnswer));
 }
 
-TEST_CASE("own requests bring repeats, and leave with their window") {
+TEST_CASE("a daemon's own requests earn retries, which expire with their window") {
     WindowBudget budget(terms(), kStart);
-    // Spent as they are earned: one in ten.
-    CHECK(repeats_along(budget, 100) == 10);
+    // Retries are spent as they are earned: one per ten requests.
+    CHECK(retries_with_requests(budget, 100) == 10);
     CHECK_FALSE(budget.try_retry(kStart + seconds(5), "s", 1000, RetryReason::kNoAnswer));
-    // After the window both the requests and the repeats are gone.
+    // After the window both the requests and the retries have expired.
     CHECK_FALSE(budget.try_retry(kStart + seconds(10), "s", 1000, RetryReason::kNoAnswer));
 }
 
-TEST_CASE("a tenth of the bound is saved up for a sudden need, and no more") {
+TEST_CASE("at most a tenth of the bound accumulates for a burst") {
     WindowBudget budget(terms(), kStart);
     for (int request = 0; request < 100; ++request) {
         budget.on_request(kStart, "s");
     }
-    CHECK(repeats_at(budget, kStart, 1) == 2);
+    CHECK(retries_allowed_at(budget, kStart, 1) == 2);
     CHECK_FALSE(budget.try_retry(kStart + seconds(5), "s", 1000, RetryReason::kNoAnswer));
-    // What is earned from then on can be spent.
+    // Retries earned from now on can be spent.
     for (int request = 0; request < 11; ++request) {
         budget.on_request(kStart + seconds(6), "s");
     }
-    CHECK(repeats_at(budget, kStart + seconds(6), 1) == 1);
+    CHECK(retries_allowed_at(budget, kStart + seconds(6), 1) == 1);
     CHECK_FALSE(budget.try_retry(kStart + seconds(20), "s", 1000, RetryReason::kNoAnswer));
 }
 
-TEST_CASE("where requests are few, one repeat is saved up") {
+TEST_CASE("with few requests, one retry accumulates") {
     WindowBudget budget(terms(), kStart);
     for (int request = 0; request < 10; ++request) {
         budget.on_request(kStart, "s");
     }
-    CHECK(repeats_at(budget, kStart, 1) == 1);
+    CHECK(retries_allowed_at(budget, kStart, 1) == 1);
 }
 
-TEST_CASE("services have budgets of their own") {
+TEST_CASE("each service has its own budget") {
     WindowBudget budget(terms(), kStart);
     for (int request = 0; request < 20; ++request) {
         budget.on_request(kStart, "other");
@@ -83,7 +83,7 @@
     CHECK_FALSE(budget.try_retry(kStart, "s", 1, RetryReason::kNoAnswer));
 }
 
-TEST_CASE("a fleet never passes the bound in any window, whatever restarts") {
+TEST_CASE("a fleet never exceeds the bound in any window, with processes restarting at random") {
     std::mt19937 random(5);
     std::uniform_real_distribution<double> unit(0.0, 1.0);
     constexpr std::size_t members = 8;
@@ -120,7 +120,7 @@
     CHECK_FALSE(repeats.empty());
 }
 
-TEST_CASE("doubtful repeats leave most of the budget to attempts without an answer") {
+TEST_CASE("failed responses and slow attempts leave most of the budget to attempts without a response") {
     WindowBudget budget(terms(), kStart);
     for (int request = 0; request < 100; ++request) {
         budget.on_request(kStart, "s");
@@ -129,7 +129,8 @@
     CHECK(budget.try_retry(kStart, "s", 1, RetryReason::kFailedAnswer));
     CHECK_FALSE(budget.try_retry(kStart, "s", 1, RetryReason::kSlow));
     CHECK_FALSE(budget.try_retry(kStart, "s", 1, RetryReason::kFailedAnswer));
-    // These have used what was saved up; what is earned next is for attempts without an answer alone.
+    // The retries above have used the accumulated budget; only attempts without a response may use what is
+    // earned next.
     for (int request = 0; request < 11; ++request) {
         budget.on_request(kStart, "s");
     }
@@ -138,26 +139,26 @@
     CHECK(budget.try_retry(kStart, "s", 1, RetryReason::kNoAnswer));
 }
 
-TEST_CASE("three levels of calls that all spend their share stay within the bound") {
-    // Every run at one level makes one call at the next. The calls of repeated runs count as repeats there.
+TEST_CASE("three levels of calls that each spend their whole share stay within the bound") {
+    // Every run at one level makes one call at the next. The calls of retried runs count as retries there.
     const WindowBudgetTerms standard{0.2, 0, milliseconds(10'000)};
     constexpr int requests = 1'000;
     int repeats_above = 0;
     for (int level = 0; level < 3; ++level) {
         WindowBudget budget(standard, kStart);
         const double inherited = repeats_above / static_cast<double>(requests + repeats_above);
-        const int own = repeats_along(budget, requests + repeats_above, inherited);
-        // The whole share is there for the first level that needs it; what it uses is gone further down.
+        const int own = retries_with_requests(budget, requests + repeats_above, inherited);
+        // The first level can use the whole share; what it uses is not available at the levels below.
         CHECK(own >= (level == 0 ? 169 : 0));
         repeats_above += own;
         CHECK(repeats_above <= standard.ratio * requests);
     }
 }
 
-TEST_CASE("a level whose callers repeat nothing has the whole share") {
+TEST_CASE("a level whose callers do not retry has the whole share") {
     WindowBudget budget({0.2, 0, milliseconds(10'000)}, kStart);
-    CHECK(repeats_along(budget, 1'010) == 171);
-    // Inherited repeats leave the window like others.
+    CHECK(retries_with_requests(budget, 1'010) == 171);
+    // Inherited retries expire with the window like others.
     WindowBudget later({0.2, 0, milliseconds(10'000)}, kStart);
     later.on_request(kStart, "s", 1);
     for (int request = 0; request < 10; ++request) {
