--- a/src/suspects/crash_ledger.cpp
+++ b/src/suspects/crash_ledger.cpp
@@ -8,29 +8,30 @@
 namespace
 {
 
-/** Frees an entry for another suspect: of those with the fewest crashes the oldest goes. */
-void dropLeast (CrashLedger& ledger)
+/** Frees an entry for another suspect: removes the oldest of those with the fewest crashes. */
+void evictWeakest (CrashLedger& ledger)
 {
-    const auto least = std::min_element (ledger.suspects.begin(), ledger.suspects.end(),
-                                         [] (const auto& left, const auto& right)
-                                         {
-                                             const auto& a = left.second;
-                                             const auto& b = right.second;
-                                             return a.numCrashes != b.numCrashes ? a.numCrashes < b.numCrashes
-                                                                                 : a.latest < b.latest;
-                                         });
-    ledger.suspects.erase (least);
+    const auto weakest = std::min_element (ledger.suspects.begin(), ledger.suspects.end(),
+                                           [] (const auto& left, const auto& right)
+                                           {
+                                               const auto& a = left.second;
+                                               const auto& b = right.second;
+                                               return a.numCrashes != b.numCrashes
+                                                          ? a.numCrashes < b.numCrashes
+                                                          : a.latest < b.latest;
+                                           });
+    ledger.suspects.erase (weakest);
 }
 
-bool holds (const Suspect& suspect, CallerDigest caller)
+bool hasCaller (const Suspect& suspect, CallerDigest caller)
 {
     return std::find (suspect.callers.begin(), suspect.callers.end(), caller) != suspect.callers.end();
 }
 
-/** Whether what is known of the request is known of this caller's too. */
-bool speaksOf (const Suspect& suspect, CallerDigest caller)
+/** Whether the suspect's crashes also count for this caller's request. */
+bool appliesTo (const Suspect& suspect, CallerDigest caller)
 {
-    return suspect.callers.size() >= callersToGeneralize || holds (suspect, caller);
+    return suspect.callers.size() >= callersToGeneralize || hasCaller (suspect, caller);
 }
 
 bool isHarmless (const CrashLedger& ledger, TimePoint now, const RequestIdentity& request)
@@ -62,8 +63,8 @@
         return 0;
 
     const auto& suspect = it->second;
-    return speaksOf (suspect, request.caller) ? suspect.numCrashes
-                                              : std::min (suspect.numCrashes, crashesToCondemn - 1);
+    return appliesTo (suspect, request.caller) ? suspect.numCrashes
+                                               : std::min (suspect.numCrashes, crashesToCondemn - 1);
 }
 
 bool isCondemned (const CrashLedger& ledger, TimePoint now, const RequestIdentity& request)
@@ -82,11 +83,11 @@
     const bool isKnown = ledger.suspects.contains (request.digest);
 
     if (! isKnown && ledger.suspects.size() >= maxSuspects)
-        dropLeast (ledger);
+        evictWeakest (ledger);
 
     auto& suspect = ledger.suspects[request.digest];
     const bool isLonger = numCrashes > suspect.numCrashes;
-    const bool isNewCaller = ! speaksOf (suspect, request.caller);
+    const bool isNewCaller = ! appliesTo (suspect, request.caller);
 
     if (isLonger)
     {
@@ -120,8 +121,8 @@
     if (suspect == ledger.suspects.end())
         return false;
 
-    // Another caller's crashes stand.
-    if (speaksOf (suspect->second, request.caller))
+    // Crashes under another caller's requests remain recorded.
+    if (appliesTo (suspect->second, request.caller))
         ledger.suspects.erase (suspect);
 
     return true;
@@ -154,17 +155,17 @@
 
 std::vector<CrashedRun> likelyCauses (const std::vector<CrashedRun>& runs)
 {
-    unsigned most = 0;
+    unsigned maxCount = 0;
 
     for (const auto& it : runs)
-        most = std::max (most, it.crashesBefore);
+        maxCount = std::max (maxCount, it.crashesBefore);
 
-    if (most < crashesToIsolate)
+    if (maxCount < crashesToIsolate)
         return runs;
 
     std::vector<CrashedRun> strongest;
     std::copy_if (runs.begin(), runs.end(), std::back_inserter (strongest),
-                  [&] (const CrashedRun& it) { return it.crashesBefore == most; });
+                  [&] (const CrashedRun& it) { return it.crashesBefore == maxCount; });
     return strongest;
 }
 
--- a/src/suspects/crash_ledger.hpp
+++ b/src/suspects/crash_ledger.hpp
@@ -1,19 +1,19 @@
-/** What is known of requests that were running at servers when these crashed.
-
-    A request that crashes each server that begins it is distinguished from the many that were only there
-    by what follows on each other: one run meets a crash, the same request runs again, knowing of that
-    crash, and meets another. `numCrashes` is the length of that chain, the longest that any daemon knows.
-    So servers that crash at the same moment, or of themselves, add one to each request and no more; and a
-    request that any server ever answers is cleared. Daemons' ledgers agree by taking the greater count,
-    in whatever order reports come.
-
-    A caller's request is condemned for its own crashes, or when the same request crashed servers for two
-    callers. What one caller's crashed makes a strong suspect of another's, and no more: the server may
-    treat the two differently.
-
-    Owns what this daemon knows (CrashLedger); sidecar/crash_exchange keeps it, and shares it with peers
-    and the store. In a model of 14 daemons and 4 servers, 40 days each, a fatal request crashed 3.0
-    servers in the mean and no other request failed; when nothing was remembered 19.2 and 0.643
+/** Records requests that were running at servers when these crashed, to find the requests that cause crashes.
+
+    A request that crashes every server that begins it differs from bystanders by its chain of crashes: one
+    run meets a crash, the same request runs again, carrying the count of that crash, and meets another.
+    `numCrashes` is the length of the longest such chain that any daemon knows. Servers that crash at the same
+    moment, or for reasons of their own, therefore add at most one to each request, and a request that any
+    server answers is cleared. Daemons' ledgers converge by taking the greater count, in whatever order
+    reports arrive.
+
+    A caller's request is condemned for crashes under this caller, or when the same request crashed servers
+    for two callers. Crashes under one caller make the same request of another caller a strong suspect at
+    most, since the server may treat the two callers differently.
+
+    Owns this daemon's knowledge (CrashLedger); sidecar/crash_exchange keeps the ledger and shares it with
+    peers and the store. In a model of 14 daemons and 4 servers, over 40 days each, a fatal request crashed
+    3.0 servers on average and no other request failed; without a ledger the figures were 19.2 and 0.643
     (docs/design/suspects.md). Pure.
 */
 #pragma once
@@ -28,85 +28,88 @@
 namespace anisehold::suspects
 {
 
-/** Crashes in a row after which a request isn't sent to any server. Of 2 the second may still be chance: of
-    two servers that crash of themselves within a second, a request can meet both. With 2 the model had 2.0
-    crashes and condemned 70 harmless requests, with 3 3.0 and none. */
+/** Length of the chain from which a request is not sent to any server. With 2, the second crash may be
+    chance: if two servers crash by themselves within a second, a request can meet both. With 2 the model had
+    2.0 crashes and condemned 70 harmless requests; with 3 it had 3.0 crashes and condemned none. */
 inline constexpr unsigned crashesToCondemn = 3;
-/** From this many on a suspect runs alone among its like, so that the next crash has one cause. With no limit
-    to how many run the model condemned 17 harmless requests. */
+/** Number of crashes from which a suspect is a strong suspect: only one runs at a server at a time, so that
+    the next crash has a single cause. Without that limit the model condemned 17 harmless requests. */
 inline constexpr unsigned crashesToIsolate = 2;
-/** Callers whose request crashed servers from which on it is the same for all callers. */
+/** Number of callers whose request crashed servers from which the crashes count for all callers. */
 inline constexpr std::size_t callersToGeneralize = 2;
-/** How long a suspect is remembered after its latest crash. One that isn't sent again costs its entry only.
-    Chosen, not measured. */
+/** Retention of a suspect after its latest crash and condemnation. A suspect that is not sent again costs
+    only its entry. */
 inline constexpr seconds suspectLifetime{ 600 };
-/** How long a caller's request counts as harmless after a server answered it, against late reports: those of
-    a peer that was cut off for some seconds. Chosen, not measured. */
+/** How long a caller's request counts as harmless after a server answered it. Protects against late reports
+    from a peer that was disconnected for some seconds. */
 inline constexpr seconds clearedLifetime{ 30 };
-/** How long a request is condemned at first. Then one trial is made, since a new version of the service may
-    bear it; each trial that crashes a server makes the next time six times as long. Chosen, not measured. */
+/** Duration of the first condemnation. When it ends, one trial run is allowed, since a new version of the
+    service may handle the request; each trial that crashes a server multiplies the next duration by
+    `condemnationGrowth`. */
 inline constexpr seconds firstCondemnation{ 600 };
 inline constexpr int condemnationGrowth = 6;
-/** A day: a service that is mended at all is mended by then, or an operator lifts the verdict. Chosen, not
-    measured. */
+/** One day: within that time the service is normally repaired, or an operator lifts the verdict. */
 inline constexpr seconds maxCondemnation{ 86'400 };
-/** Most suspects of one daemon; a hundred may run at a server when it ends. Chosen, not measured. */
+/** Maximum number of suspects in one daemon's ledger; a hundred requests may be running at a server when it
+    crashes. */
 inline constexpr std::size_t maxSuspects = 4'096;
-/** Most crashes that are counted: the time of a condemnation has long reached its greatest. */
+/** Upper limit of the crash count; the condemnation time reaches its maximum long before. */
 inline constexpr unsigned maxCrashes = 32;
 
-/** One suspect. */
+/** A request that was running at servers when they crashed. */
 struct Suspect
 {
-    unsigned numCrashes = 0;           /**< Of its chain. */
-    TimePoint latest;                  /**< When the last of them was. */
-    std::vector<CallerDigest> callers; /**< For whom it crashed servers; up to `callersToGeneralize`. */
+    unsigned numCrashes = 0; /**< Length of the longest known chain. */
+    TimePoint latest;        /**< Time of the latest crash. */
+    std::vector<CallerDigest>
+        callers; /**< Callers under whose requests servers crashed; at most `callersToGeneralize`. */
 };
 
-/** What one daemon knows. */
+/** The suspects and cleared requests that one daemon knows. */
 struct CrashLedger
 {
     std::unordered_map<RequestDigest, Suspect> suspects;
-    std::unordered_map<RequestIdentity, TimePoint> cleared; /**< When a server answered them. */
+    std::unordered_map<RequestIdentity, TimePoint>
+        cleared; /**< Time at which a server answered the request. */
 };
 
-/** How long a request with so many crashes is condemned; zero if it isn't. */
+/** Returns how long a request with this number of crashes is condemned; zero if it is not. */
 Duration condemnationTime (unsigned numCrashes);
 
-/** Crashes that are known of the request; 0 for nearly all. Where they are another caller's alone, fewer than
-    condemn it. */
+/** Returns the known number of crashes of the request; 0 for nearly all requests. Crashes under other callers
+    alone count as fewer than a condemnation needs. */
 unsigned crashesOf (const CrashLedger&, TimePoint now, const RequestIdentity&);
 
 /** Whether the request must not be sent to a server. */
 bool isCondemned (const CrashLedger&, TimePoint now, const RequestIdentity&);
 
-/** Takes in a chain of crashes, the last of which was `age` ago, under requests of this caller. True if
-    that was new. */
+/** Records a chain of crashes under this caller's requests, the latest of which was `age` ago. Returns true
+    if the ledger changed. */
 bool recordCrashes (CrashLedger&, TimePoint now, const RequestIdentity&, unsigned numCrashes,
                     Duration age = {});
 
-/** A server has given the request a whole answer. True if it was a suspect. */
+/** Records a server's complete response to the request. Returns true if the request was a suspect. */
 bool recordAnswered (CrashLedger&, TimePoint now, const RequestIdentity&);
 
-/** A peer reports that a server answered the request, `age` ago. That may come before the report of the
-    crash. True as above. */
+/** Records a peer's report that a server answered the request `age` ago; the report may arrive before the
+    report of the crash. Returns true if the request was a suspect. */
 bool recordCleared (CrashLedger&, TimePoint now, const RequestIdentity&, Duration age);
 
-/** Forgets a request for all callers; true if anything was known of it. */
+/** Clears a request for all callers; returns true if the request was a suspect. */
 bool clearRequest (CrashLedger&, TimePoint now, const RequestDigest&);
 
-/** Forgets what is too old. */
+/** Removes expired suspects and cleared requests. */
 void expire (CrashLedger&, TimePoint now);
 
-/** One request that ran at a server when that crashed. */
+/** A request that was running at a server when the server crashed. */
 struct CrashedRun
 {
     RequestIdentity request;
-    unsigned crashesBefore = 0; /**< That were known when it began. */
+    unsigned crashesBefore = 0; /**< Number of crashes that were known when the run began. */
 };
 
-/** Whose chain a crash makes longer. All that ran there are suspects, but where one ran that had met two
-    crashes before, and so ran alone among its like, it is taken for the cause and the others for
+/** Returns the runs whose chain a crash extends. Normally all runs at the server become suspects. If a strong
+    suspect was running, which runs alone among strong suspects, it is taken as the cause and the others as
     bystanders. */
 std::vector<CrashedRun> likelyCauses (const std::vector<CrashedRun>&);
 
--- a/src/suspects/crash_report.cpp
+++ b/src/suspects/crash_report.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** First byte of every datagram: distinguishes these messages from others, and from another layout. */
+/** First byte of every datagram: distinguishes these messages from others and from other layouts. */
 constexpr char layout = 'C';
 
 std::uint32_t ageMs (TimePoint now, TimePoint then)
@@ -24,7 +24,7 @@
                                                : left.ageMs < right.ageMs;
 }
 
-/** A number at the start of `text`, which is cut off it. */
+/** Parses a number at the start of `text` and removes it from there. */
 template <typename Number>
 bool takeNumber (std::string_view& text, Number& number)
 {
@@ -33,7 +33,7 @@
     return result.ec == std::errc{};
 }
 
-/** The blank before the next number. */
+/** Removes the space before the next number. */
 bool takeBlank (std::string_view& text)
 {
     const bool isBlank = text.starts_with (' ');
--- a/src/suspects/crash_report.hpp
+++ b/src/suspects/crash_report.hpp
@@ -1,5 +1,6 @@
-/** What daemons report to each other of suspects: one datagram a message; and how a verdict is kept in the
-    store. Both forms are read by other versions: the order of `serialize_all` and the text don't change. */
+/** Messages by which daemons report suspects to each other, one per datagram, and the stored form of a
+    verdict. Other versions read both forms, so the order of `serialize_all` and the text format must not
+    change. */
 #pragma once
 
 #include <cstdint>
@@ -15,7 +16,7 @@
 namespace anisehold::suspects
 {
 
-/** One caller. A struct, since the archives write and read bare vectors of numbers in two ways. */
+/** One caller. A struct, because the archives write and read plain vectors of numbers differently. */
 struct CallerEntry
 {
     std::uint64_t caller = 0;
@@ -27,12 +28,12 @@
     }
 };
 
-/** One suspect. */
+/** A suspect as reported to peers. */
 struct SuspectEntry
 {
     RequestDigest digest;
     std::uint32_t numCrashes = 0;
-    std::uint32_t ageMs = 0; /**< Of the latest crash. */
+    std::uint32_t ageMs = 0; /**< Age of the latest crash. */
     std::vector<CallerEntry> callers;
 
     template <typename Archive>
@@ -42,12 +43,12 @@
     }
 };
 
-/** One caller's request that is a suspect no more. */
+/** One caller's request that is no longer a suspect. */
 struct ClearedEntry
 {
     RequestDigest digest;
     std::uint64_t caller = 0;
-    std::uint32_t ageMs = 0; /**< Of the server's answer. */
+    std::uint32_t ageMs = 0; /**< Age of the server's response. */
 
     template <typename Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -70,33 +71,33 @@
     }
 };
 
-/** Most suspects, and most cleared requests, of one message: 40 and 28 bytes each for one caller, some 9
-    KB, worked out. */
+/** Maximum number of suspects and of cleared requests in one message: 40 and 28 bytes each for one caller,
+    some 9 KB. */
 inline constexpr std::size_t maxReported = 128;
 
-/** How long suspects of one crash are reported. All peers got them at once, and twice; nearly all of these
-    are harmless and don't come again, and a server may leave a hundred, 4 KB in each message. Chosen, not
-    measured. */
+/** How long suspects with one crash are reported. All peers receive them at once, and twice. Nearly all are
+    harmless and not sent again, and one crash may leave a hundred of them, 4 KB in each message. */
 inline constexpr seconds weakSuspectReportTime{ 10 };
 
-/** What of the ledger is reported: those with the most crashes first, then the latest. */
+/** Returns the part of the ledger that is reported: suspects with the most crashes first, then the most
+    recent. */
 CrashReport reportOf (const CrashLedger&, TimePoint now);
 
 std::string encode (const CrashReport&);
-/** Nothing if the bytes aren't such a message. */
+/** Returns nothing if the bytes are not a valid message. */
 std::optional<CrashReport> decodeCrashReport (std::string_view);
 
-/** A verdict as it lies in the store: the number of crashes, the Unix time of the latest, in milliseconds,
-    and the callers, as decimal numbers with a blank between. */
+/** A verdict as stored: the number of crashes, the Unix time of the latest crash in milliseconds, and the
+    callers, as decimal numbers separated by single spaces. */
 struct StoredVerdict
 {
     unsigned numCrashes = 0;
     std::int64_t latestUnixMs = 0;
-    std::vector<CallerDigest> callers; /**< One at least. */
+    std::vector<CallerDigest> callers; /**< At least one. */
 };
 
 std::string encode (const StoredVerdict&);
-/** Nothing if the text isn't a verdict. */
+/** Returns nothing if the text is not a valid verdict. */
 std::optional<StoredVerdict> decodeStoredVerdict (std::string_view);
 
 } // namespace anisehold::suspects
--- a/src/suspects/suspect_server.hpp
+++ b/src/suspects/suspect_server.hpp
@@ -1,6 +1,6 @@
-/** Which server a suspect is sent to, in place of the usual choice (selection/server_selection). Relies on
-    rendezvous hashing over the servers that are known. Measured in the model: where servers crash of
-    themselves as well, 3.0 crashes at most (3) with it, up to 5 with any server
+/** Chooses the server of a suspect, in place of the normal choice (selection/server_selection). Relies on
+    rendezvous hashing over the known servers. In the model with servers that also crash by themselves, a
+    fatal request caused 3.0 crashes (at most 3) with this choice, and up to 5 with an arbitrary server
     (docs/design/suspects.md). Pure. */
 #pragma once
 
@@ -13,9 +13,9 @@
 namespace anisehold::suspects
 {
 
-/** The server of the view that ranks first for the suspect by rendezvous hash, of those not in `tried`;
-    null if there is none. All daemons choose the same one, so that the gate beside it sees all runs of
-    the suspect: only one is made at a time, and a trial after a condemnation is the fleet's only one. */
+/** Returns the server of the view that ranks first for the suspect by rendezvous hash, without those in
+    `tried`; null if there is none. All daemons choose the same server, so its gate sees all runs of the
+    suspect: only one runs at a time, and a trial after a condemnation is the only one in the fleet. */
 const membership::KnownServer* chooseForSuspect (const membership::ServiceView&, const RequestDigest&,
                                                  const std::vector<std::string>& tried);
 
--- a/src/suspects/suspect_slots.hpp
+++ b/src/suspects/suspect_slots.hpp
@@ -1,8 +1,8 @@
-/** How many suspects run at one server at the same time.
+/** Limits the number of suspects that run at one server at the same time.
 
-    What a suspect crashes takes all that runs there along, and makes suspects of it. Few at a time keep the
-    number of suspects small that a second crash leaves; one at a time of those that met two crashes
-    singles out the cause. Owned by the gate (sidecar/suspect_queue). Pure.
+    A suspect that crashes the server turns all requests running there into suspects. Limiting weak suspects
+    keeps the number of suspects after a second crash small; limiting strong suspects to one identifies the
+    cause. Owned by the gate (sidecar/suspect_queue). Pure.
 */
 #pragma once
 
@@ -13,19 +13,20 @@
 namespace anisehold::suspects
 {
 
-/** Suspects of one crash that run at one server at once. The more, the more are left after a second crash;
-    the fewer, the longer the harmless ones wait: at a crash with 30 running, three servers left and 90 ms of
-    work, 4 make the last one wait 0.2 s, 1 makes it wait 0.8 s, worked out. */
+/** Maximum number of suspects with one crash that run at one server. A larger limit leaves more suspects
+    after a second crash; a smaller limit makes harmless requests wait longer: after a crash with 30 requests
+    running, with three servers left and 90 ms of work each, the last one waits 0.2 s with a limit of 4 and
+    0.8 s with a limit of 1. */
 inline constexpr unsigned maxWeakSuspects = 4;
 
-/** What runs now. */
+/** Suspects that are running. */
 struct SuspectSlots
 {
     unsigned numWeak = 0;
-    unsigned numStrong = 0; /**< Those that met two crashes or more. */
+    unsigned numStrong = 0; /**< Suspects with two crashes or more. */
 };
 
-/** Whether a suspect with so many crashes may begin. */
+/** Whether a suspect with this number of crashes may start. */
 inline bool mayBegin (const SuspectSlots& slots, unsigned numCrashes)
 {
     return numCrashes >= crashesToIsolate ? slots.numStrong == 0 : slots.numWeak < maxWeakSuspects;
@@ -36,7 +37,7 @@
     ++(numCrashes >= crashesToIsolate ? slots.numStrong : slots.numWeak);
 }
 
-/** `numCrashes` as it was when the suspect began. */
+/** `numCrashes`: the value at the suspect's start. */
 inline void recordEnd (SuspectSlots& slots, unsigned numCrashes)
 {
     auto& count = numCrashes >= crashesToIsolate ? slots.numStrong : slots.numWeak;
--- a/tests/unit/suspects/crash_ledger_test.cpp
+++ b/tests/unit/suspects/crash_ledger_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE ("three crashes in a row condemn a request, two don't", "[suspects]")
+TEST_CASE ("three consecutive crashes condemn a request, two do not", "[suspects]")
 {
     CrashLedger ledger;
     CHECK (recordCrashes (ledger, start, shopPage, 1));
@@ -30,7 +30,7 @@
     CHECK (crashesOf (ledger, start, shopPage) == 3);
 }
 
-TEST_CASE ("servers that crash at the same moment count once, whatever their number", "[suspects]")
+TEST_CASE ("simultaneous crashes of several servers count once", "[suspects]")
 {
     CrashLedger ledger;
 
@@ -40,7 +40,7 @@
     CHECK (crashesOf (ledger, start, shopPage) == 1);
 }
 
-TEST_CASE ("news in any order, and twice, lead to the same", "[suspects]")
+TEST_CASE ("reports that arrive out of order or twice lead to the same ledger", "[suspects]")
 {
     CrashLedger ledger;
     CHECK (recordCrashes (ledger, start, shopPage, 3, seconds (1)));
@@ -50,7 +50,8 @@
     CHECK_FALSE (isCondemned (ledger, start + firstCondemnation - milliseconds (999), shopPage));
 }
 
-TEST_CASE ("an answer clears a request, and late news don't bring it back", "[suspects]")
+TEST_CASE ("a response clears a request, and a late crash report does not make it a suspect again",
+           "[suspects]")
 {
     CrashLedger ledger;
     recordCrashes (ledger, start, shopPage, 2);
@@ -61,7 +62,7 @@
     CHECK (recordCrashes (ledger, start + clearedLifetime, shopPage, 1));
 }
 
-TEST_CASE ("news of an answer may overtake those of the crash", "[suspects]")
+TEST_CASE ("the report of a response may arrive before the report of the crash", "[suspects]")
 {
     CrashLedger ledger;
     CHECK_FALSE (recordCleared (ledger, start, shopPage, milliseconds (5)));
@@ -69,28 +70,29 @@
     CHECK (ledger.suspects.empty());
 }
 
-TEST_CASE ("an answer to a request that is no suspect is not remembered", "[suspects]")
+TEST_CASE ("a response to a request that is not a suspect is not recorded", "[suspects]")
 {
     CrashLedger ledger;
     CHECK_FALSE (recordAnswered (ledger, start, shopPage));
     CHECK (ledger.cleared.empty());
 }
 
-TEST_CASE ("another caller's request is a strong suspect until it crashes a server itself", "[suspects]")
+TEST_CASE ("the same request of another caller is a strong suspect until it crashes a server itself",
+           "[suspects]")
 {
     CrashLedger ledger;
     recordCrashes (ledger, start, shopPage, 3);
     CHECK (crashesOf (ledger, start, deskPage) == 2);
     CHECK_FALSE (isCondemned (ledger, start, deskPage));
 
-    SECTION ("after it has, it is condemned for all callers")
+    SECTION ("after it crashes a server, the request is condemned for all callers")
     {
         CHECK (recordCrashes (ledger, start, deskPage, 3));
         CHECK (isCondemned (ledger, start, deskPage));
         CHECK (isCondemned (ledger, start, tillPage));
     }
 
-    SECTION ("if it is answered it is harmless, and the first one's stays condemned")
+    SECTION ("if it is answered, it is harmless, and the first caller's request stays condemned")
     {
         CHECK (recordAnswered (ledger, start, deskPage));
         CHECK (crashesOf (ledger, start, deskPage) == 0);
@@ -99,7 +101,7 @@
     }
 }
 
-TEST_CASE ("a chain goes on over callers", "[suspects]")
+TEST_CASE ("a chain of crashes continues across callers", "[suspects]")
 {
     CrashLedger ledger;
     recordCrashes (ledger, start, shopPage, 1);
@@ -109,7 +111,7 @@
     CHECK (isCondemned (ledger, start, tillPage));
 }
 
-TEST_CASE ("a condemnation ends with a trial, and a failed trial makes the next one longer", "[suspects]")
+TEST_CASE ("a condemnation ends with a trial, and a failed trial extends the next condemnation", "[suspects]")
 {
     CrashLedger ledger;
     recordCrashes (ledger, start, shopPage, 3);
@@ -122,7 +124,7 @@
     CHECK (condemnationTime (2) == Duration::zero());
 }
 
-TEST_CASE ("what is old is forgotten, and the number of suspects is bounded", "[suspects]")
+TEST_CASE ("old suspects expire, and the number of suspects is bounded", "[suspects]")
 {
     CrashLedger ledger;
     recordCrashes (ledger, start, shopPage, 3);
@@ -141,7 +143,7 @@
     CHECK (ledger.suspects.empty());
 }
 
-TEST_CASE ("an operator's lifting holds for all callers", "[suspects]")
+TEST_CASE ("a verdict that an operator lifts is cleared for all callers", "[suspects]")
 {
     CrashLedger ledger;
     recordCrashes (ledger, start, shopPage, 3);
@@ -152,7 +154,7 @@
     CHECK_FALSE (recordCrashes (ledger, start + seconds (1), deskPage, 3, seconds (1)));
 }
 
-TEST_CASE ("a crash with a strong suspect running speaks of that one alone", "[suspects]")
+TEST_CASE ("a crash with a strong suspect running is attributed to that suspect alone", "[suspects]")
 {
     const RequestIdentity other{ { 0, 8 }, shop };
     CHECK (likelyCauses ({ { shopPage, 1 }, { other, 0 } }).size() == 2);
--- a/tests/unit/suspects/crash_report_test.cpp
+++ b/tests/unit/suspects/crash_report_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE ("news read back as they were written, the worst suspects first", "[suspects]")
+TEST_CASE ("a report survives encoding and decoding, with the worst suspects first", "[suspects]")
 {
     const auto report = decodeCrashReport (encode (reportOf (filledLedger(), start + milliseconds (40))));
     REQUIRE (report);
@@ -47,14 +47,14 @@
     CHECK (report->cleared[0].ageMs == 40);
 }
 
-TEST_CASE ("suspects of one crash are told of for a short time, others longer", "[suspects]")
+TEST_CASE ("suspects with one crash are reported for a short time, others longer", "[suspects]")
 {
     const auto report = reportOf (filledLedger(), start + weakSuspectReportTime + milliseconds (1));
     REQUIRE (report.suspects.size() == 1);
     CHECK (report.suspects.front().numCrashes == 3);
 }
 
-TEST_CASE ("news are bounded, and greater ones are refused", "[suspects]")
+TEST_CASE ("reports are bounded in size, and larger ones are rejected", "[suspects]")
 {
     CrashLedger ledger;
 
@@ -71,7 +71,7 @@
     CHECK_FALSE (decodeCrashReport (encode (report)));
 }
 
-TEST_CASE ("bytes that are no news are refused, whatever they are", "[suspects]")
+TEST_CASE ("invalid bytes are rejected as a report", "[suspects]")
 {
     const auto whole = encode (reportOf (filledLedger(), start));
     CHECK_FALSE (decodeCrashReport (""));
@@ -84,16 +84,16 @@
 
     for (int n = 0; n < 5'000; ++n)
     {
-        auto spoiled = whole;
+        auto corrupted = whole;
         const auto at = std::uniform_int_distribution<std::size_t> (1, whole.size() - 1) (random);
-        spoiled[at] = static_cast<char> (random());
-        const auto report = decodeCrashReport (spoiled);
-        // What can't be told from news is still within the bounds.
+        corrupted[at] = static_cast<char> (random());
+        const auto report = decodeCrashReport (corrupted);
+        // A corrupted report that still decodes is within the bounds.
         CHECK ((! report || report->suspects.size() <= maxReported));
     }
 }
 
-TEST_CASE ("a verdict reads back from the store, and nothing else does", "[suspects]")
+TEST_CASE ("a stored verdict survives encoding and decoding, and invalid texts are rejected", "[suspects]")
 {
     const auto text = encode (StoredVerdict{ 3, 1'796'253'560'006, { shop, desk } });
     const auto verdict = decodeStoredVerdict (text);
@@ -107,7 +107,7 @@
     CHECK_FALSE (decodeStoredVerdict (refused));
 }
 
-TEST_CASE ("a few weak suspects run at once, and one strong one", "[suspects]")
+TEST_CASE ("several weak suspects run at the same time, but only one strong suspect", "[suspects]")
 {
     SuspectSlots slots;
 
@@ -127,7 +127,7 @@
     CHECK (mayBegin (slots, 1));
 }
 
-TEST_CASE ("all daemons send a suspect to the same server, and on to the same next one", "[suspects]")
+TEST_CASE ("all daemons choose the same first and second server for a suspect", "[suspects]")
 {
     std::vector<membership::KnownServer> servers (5);
     membership::ServiceView here;
