--- a/src/tenancy/caller_verdict.hpp
+++ b/src/tenancy/caller_verdict.hpp
@@ -1,9 +1,10 @@
-/** Whose request it is, and whether it may be served at all.
+/** Identifies the tenant of a request and decides whether the request may be served.
 
-    Asked in this order: is the key malformed, or missing (then the route decides)? Is the configuration
-    proven to be recent enough for keys? Does a tenant hold the key? A key that nobody holds is refused for
-    good only on a fresh proof, since it may be newer than the configuration. Relies on the key ring of the
-    configuration in force and on its proof. Pure. */
+    The checks, in order: is the key malformed, or missing (then the route decides)? Is the proof of the
+    configuration recent enough for keys? Does a tenant hold the key? A key that no tenant holds is rejected
+    definitively only on a fresh proof, since the key may be newer than the configuration. Relies on the key
+    ring of the configuration in force and on its proof. Pure.
+*/
 #pragma once
 
 #include <optional>
@@ -14,37 +15,37 @@
 namespace anisehold::tenancy
 {
 
-/** Whether a request is admitted, and as whose. */
+/** Whether a request is admitted, and on whose behalf. */
 enum class Admission
 {
-    anonymous,    /**< Without a key, where the route allows that. */
-    known,        /**< Of a tenant. */
-    unauthorized, /**< Its key is missing, malformed or held by nobody. */
-    unproven      /**< Whether its key is in force isn't known here for now. */
+    anonymous,    /**< Without a key, on a route that allows this. */
+    known,        /**< The request of a known tenant. */
+    unauthorized, /**< The key is missing, malformed or not held by any tenant. */
+    unproven      /**< This daemon cannot tell at present whether the key is in force. */
 };
 
-/** What a request says of its caller. */
+/** The credentials that a request carries. */
 struct Credentials
 {
-    std::optional<ApiKey> key; /**< Nothing if there is none. */
-    bool isMalformed = false;  /**< Something stands where the key should be that isn't one. */
+    std::optional<ApiKey> key; /**< Empty if the request has no key. */
+    bool isMalformed = false;  /**< The key field is present but does not contain a valid key. */
 };
 
-/** The verdict, with the tenant if it is known. */
+/** The verdict, with the tenant if known. */
 struct CallerVerdict
 {
     Admission admission = Admission::unauthorized;
-    const TenantTerms* tenant = nullptr; /**< Holds as long as the key ring. */
+    const TenantTerms* tenant = nullptr; /**< Valid as long as the key ring. */
 };
 
-/** Terms of the verdict. */
+/** The rules that apply to the request's route. */
 struct CallerRules
 {
     bool allowsAnonymous = false;          /**< The route may be called without a key. */
-    std::optional<Duration> maxProofAge{}; /**< Nothing where keys needn't go out of force in time. */
+    std::optional<Duration> maxProofAge{}; /**< Empty if keys need not be revoked within a bounded time. */
 };
 
-/** The verdict on a request that came at `now`. */
+/** Returns the verdict on a request that arrived at `now`. */
 CallerVerdict judgeCaller (const KeyRing&, const ConfigurationProof&, TimePoint now, const Credentials&,
                            const CallerRules&);
 
--- a/src/tenancy/configuration_proof.hpp
+++ b/src/tenancy/configuration_proof.hpp
@@ -1,10 +1,11 @@
-/** How long a daemon may go on trusting its configuration without hearing from the store.
-
-    A key that was taken away must not be served later than a bounded time after the store acknowledged that,
-    on any daemon, also on one that hears nobody or was paused. So a daemon keeps the latest moment up to
-    which it knows that no newer version than its own existed, and serves keyed requests only for a bounded
-    time after it. The moment is taken on the boot clock before the request was sent, so that neither a slow
-    reply nor a pause makes it later than it was. sidecar/proof_keeper gets the proofs. Pure.
+/** Bounds how long a daemon may trust its configuration without contact to the store.
+
+    A revoked key must not be served later than a bounded time after the store acknowledged the revocation, on
+    any daemon, including a daemon that is disconnected or was paused. Each daemon therefore keeps the latest
+    time at which no version newer than its own existed, and serves requests with a key only for a bounded
+    time after that. The time is read from the boot clock before the request to the store is sent, so neither
+    a slow reply nor a pause makes the proof appear younger than it is. sidecar/proof_keeper obtains the
+    proofs. Pure.
 */
 #pragma once
 
@@ -17,28 +18,27 @@
 namespace anisehold::tenancy
 {
 
-/** Part of the revocation time for which a proof is good; the rest covers clocks that run apart. Chosen, not
-    measured. */
+/** Share of the revocation time for which a proof is valid; the rest covers clock drift. */
 inline constexpr double usableProofShare = 0.95;
-/** A key that isn't known is refused for good only on a proof younger than this: it may be newer than the
-    configuration. Operators expect a new key to work within some two seconds. Chosen, not measured. */
+/** An unknown key is rejected definitively only on a proof younger than this, since the key may be newer than
+    the configuration. Operators expect a new key to work within about two seconds. */
 inline constexpr milliseconds unknownKeyProofAge{ 2'000 };
 
-/** What one daemon knows. */
+/** The latest proof of one daemon. */
 struct ConfigurationProof
 {
-    std::optional<TimePoint> provenAt; /**< No newer version than the own one existed then. */
+    std::optional<TimePoint> provenAt; /**< No version newer than the daemon's own existed at this time. */
 };
 
-/** The store, or a peer that knew it from there, answered a request that was sent at `sent`. `age` is what
-    the peer added: how long before its reply it was proven. */
+/** Records a reply of the store, or of a peer with a proof from the store, to a request that was sent at
+    `sent`. `age`: the age of the peer's proof at its reply. */
 inline void recordProof (ConfigurationProof& state, TimePoint sent, Duration age = Duration::zero())
 {
     const auto moment = sent - std::max (age, Duration::zero());
     state.provenAt = state.provenAt ? std::max (*state.provenAt, moment) : moment;
 }
 
-/** Age of the proof; nothing without one. */
+/** Returns the age of the proof; nothing without a proof. */
 inline std::optional<Duration> proofAge (const ConfigurationProof& state, TimePoint now)
 {
     return state.provenAt ? std::optional<Duration> (now - *state.provenAt) : std::nullopt;
@@ -50,7 +50,7 @@
     return age && *age <= within;
 }
 
-/** How old a proof may be where keys must be out of force within `revocation`. */
+/** Returns the maximum age of a proof where keys must be out of force within `revocation`. */
 inline Duration maxProofAge (milliseconds revocation)
 {
     return std::chrono::duration_cast<Duration> (revocation * usableProofShare);
--- a/src/tenancy/quota_bucket.hpp
+++ b/src/tenancy/quota_bucket.hpp
@@ -1,11 +1,11 @@
-/** The count of one tenant's requests over the whole fleet, as its owner keeps it.
+/** Counts one tenant's requests over the whole fleet, at the tenant's owner.
 
-    Every tenant has one owner among the daemons (quota_owner.hpp). The others get tokens from it, one a
-    request, and use them within a short time (token_cache.hpp). So the count is exact, whatever share of
-    a tenant's requests comes to which daemon, and an equal share a daemon, which for a small tenant is
-    less than one request a second, isn't needed. In simulated time, 71 daemons: a usual tenant is served
-    whole, by equal shares to 0.73; one at five times its quota runs 599 requests in five seconds where
-    680 are allowed (docs/design/tenants.md). Pure.
+    Every tenant has one owner among the daemons (quota_owner.hpp). The other daemons get tokens from the
+    owner, one per request, and use them within a short time (token_cache.hpp). The count is therefore exact
+    however a tenant's requests are distributed over the daemons. Equal shares per daemon would be less than
+    one request a second for a small tenant. In a simulation with 71 daemons, a typical tenant is served
+    completely, with equal shares only 0.73 of it; a tenant at five times its quota runs 599 requests in five
+    seconds where 680 are allowed (docs/design/tenants.md). Pure.
 */
 #pragma once
 
@@ -18,31 +18,30 @@
 namespace anisehold::tenancy
 {
 
-/** Tokens of a new owner, which doesn't know what its predecessor gave out: fewer than what the fleet may go
-    over its quota for want of an exchange (20 requests), so that single requests are served at once. Chosen,
-    not measured. */
+/** Initial tokens of a new owner, which does not know what its predecessor granted. Fewer than the 20
+    requests by which the fleet may exceed its quota without an exchange, so that single requests are served
+    at once. */
 inline constexpr double initialOwnerTokens = 8;
 
-/** Tokens of one tenant. */
+/** The token bucket of one tenant. */
 struct QuotaBucket
 {
     QuotaTerms terms;
     double tokens = 0;
-    TimePoint filled; /**< When `tokens` was right. */
-    TimePoint
-        queueEnds{}; /**< When all that were refused so far could have been served, one after the other. */
+    TimePoint filled;      /**< Time for which `tokens` is correct. */
+    TimePoint queueEnds{}; /**< Time at which all requests refused so far could have been served one after the
+                              other. */
 };
 
-/** What an owner gives. */
+/** The owner's response to a request for tokens. */
 struct QuotaGrant
 {
     unsigned granted = 0;
-    Duration untilNext{}; /**< When there will be another token. */
-    Duration
-        retryAfter{}; /**< When a refused request may come back: behind all that were refused before it. */
+    Duration untilNext{};  /**< Time until the next token. */
+    Duration retryAfter{}; /**< When a refused request may be retried: after all requests refused earlier. */
 };
 
-/** A bucket of an owner that has known its fleet since `settled`. */
+/** Returns the bucket of an owner whose fleet membership has been stable since `settled`. */
 inline QuotaBucket makeBucket (const QuotaTerms& terms, TimePoint now, TimePoint settled)
 {
     const double settledS = std::chrono::duration<double> (now - settled).count();
@@ -50,17 +49,17 @@
     return { terms, std::min (tokens, std::max (terms.burst, 1.0)), now, {} };
 }
 
-/** Brings the tokens up to date, and takes on other terms. */
+/** Adds the tokens earned since the last update, and applies changed terms. */
 inline void fill (QuotaBucket& bucket, TimePoint now, const QuotaTerms& terms)
 {
-    const double passedS = std::chrono::duration<double> (now - bucket.filled).count();
-    const double most = std::max (terms.burst, 1.0);
-    bucket.tokens = std::min (bucket.tokens + bucket.terms.ratePerS * passedS, most);
+    const double elapsedS = std::chrono::duration<double> (now - bucket.filled).count();
+    const double maxTokens = std::max (terms.burst, 1.0);
+    bucket.tokens = std::min (bucket.tokens + bucket.terms.ratePerS * elapsedS, maxTokens);
     bucket.terms = terms;
     bucket.filled = now;
 }
 
-/** Gives up to `wanted` tokens. */
+/** Grants up to `wanted` tokens. */
 inline QuotaGrant takeTokens (QuotaBucket& bucket, TimePoint now, const QuotaTerms& terms, unsigned wanted)
 {
     fill (bucket, now, terms);
@@ -85,7 +84,7 @@
     return grant;
 }
 
-/** Tokens that were given but not used come back. */
+/** Returns tokens that were granted but not used. */
 inline void returnTokens (QuotaBucket& bucket, TimePoint now, const QuotaTerms& terms, unsigned count)
 {
     fill (bucket, now, terms);
--- a/src/tenancy/tenancy_messages.cpp
+++ b/src/tenancy/tenancy_messages.cpp
@@ -9,8 +9,7 @@
 namespace
 {
 
-/** First byte of every datagram: distinguishes these messages from members' records, and from another
-    layout. */
+/** First byte of every datagram: distinguishes these messages from membership records and other layouts. */
 constexpr char layout = 'T';
 
 } // namespace
@@ -27,7 +26,7 @@
     if (bytes.size() < 1 + sizeof (kind) || bytes.front() != layout)
         return std::nullopt;
 
-    // The archive takes a negative kind for the first one.
+    // The archive would read a negative kind as the first one.
     std::memcpy (&kind, bytes.data() + 1, sizeof (kind));
 
     if (kind < 0)
--- a/src/tenancy/tenancy_messages.hpp
+++ b/src/tenancy/tenancy_messages.hpp
@@ -1,8 +1,8 @@
-/** The requests and replies between daemons about keys and quotas: one datagram a message.
+/** The requests and replies between daemons about keys and quotas, one message per datagram.
 
-    A request carries the requester's clock reading, which the reply repeats: the requester counts all
-    ages from before it sent the request, whatever time a datagram took. The order of `serialize_all` and
-    of Message is the wire's.
+    A request carries the requester's clock reading, which the reply repeats: the requester counts all ages
+    from before it sent the request, however long a datagram took. The order of `serialize_all` and of Message
+    defines the wire format.
 */
 #pragma once
 
@@ -20,12 +20,12 @@
 namespace anisehold::tenancy
 {
 
-/** Who sends a request, and when. */
+/** The sender of a request and its time of sending. */
 struct Requester
 {
     Endpoint replyTo;
-    std::uint64_t bootId = 0; /**< Of the sending process: replies to a predecessor are dropped. */
-    std::int64_t sentNs = 0;  /**< Reading of its boot clock. */
+    std::uint64_t bootId = 0; /**< Boot id of the sending process: replies to a predecessor are dropped. */
+    std::int64_t sentNs = 0;  /**< The sender's boot clock. */
 
     template <typename Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -34,27 +34,27 @@
     }
 };
 
-/** What a request that is sent at `now` carries. */
+/** Returns the requester of a request that is sent at `now`. */
 inline Requester requesterAt (TimePoint now, const Endpoint& replyTo, std::uint64_t bootId)
 {
     return { replyTo, bootId,
              std::chrono::duration_cast<std::chrono::nanoseconds> (now.time_since_epoch()).count() };
 }
 
-/** When the request was sent, on the requester's clock. */
+/** Returns when the request was sent, on the requester's clock. */
 inline TimePoint sentAt (const Requester& requester)
 {
     return TimePoint (std::chrono::duration_cast<Duration> (std::chrono::nanoseconds (requester.sentNs)));
 }
 
-/** A length of time in a message, in ms: rounded up, an hour at most. */
+/** Returns a duration in a message, in ms: rounded up, at most one hour. */
 inline std::uint32_t roundedUpMs (Duration duration)
 {
-    constexpr long long most = 3'600'000;
-    return static_cast<std::uint32_t> (std::clamp (to_milliseconds (duration) + 1, 0LL, most));
+    constexpr long long maxMs = 3'600'000;
+    return static_cast<std::uint32_t> (std::clamp (to_milliseconds (duration) + 1, 0LL, maxMs));
 }
 
-/** Asks how old the proof of the configuration is. */
+/** Asks for the age of the proof of the configuration. */
 struct ProofRequest
 {
     Requester requester;
@@ -66,7 +66,7 @@
     }
 };
 
-/** No version newer than `version` existed `ageMs` before this reply. */
+/** States that no version newer than `version` existed `ageMs` before this reply. */
 struct ProofReply
 {
     Requester requester;
@@ -80,7 +80,7 @@
     }
 };
 
-/** Tokens of a tenant are wanted, and unused ones returned. */
+/** Requests tokens of a tenant and returns unused ones. */
 struct QuotaRequest
 {
     Requester requester;
@@ -95,14 +95,14 @@
     }
 };
 
-/** What the owner grants. */
+/** The owner's grant. */
 struct QuotaReply
 {
     Requester requester;
     std::string tenant;
-    bool owns = false; /**< Otherwise it knows no such tenant, or is about to leave. */
+    bool owns = false; /**< False if the daemon does not know the tenant or is about to leave. */
     std::string
-        firstOwner; /**< Another daemon that counts for the tenant, and has replied to the sender lately. */
+        firstOwner; /**< Another daemon that counts for the tenant and has replied to the sender recently. */
     std::uint32_t granted = 0;
     std::uint32_t untilNextMs = 0;
     std::uint32_t retryAfterMs = 0;
@@ -117,7 +117,7 @@
 using Message = boost::variant<ProofRequest, ProofReply, QuotaRequest, QuotaReply>;
 
 std::string encode (const Message&);
-/** Nothing if the bytes aren't such a message. */
+/** Returns nothing if the bytes are not a valid message. */
 std::optional<Message> decode (std::string_view);
 
 } // namespace anisehold::tenancy
--- a/src/tenancy/token_cache.hpp
+++ b/src/tenancy/token_cache.hpp
@@ -1,5 +1,5 @@
-/** The tokens that one daemon holds of one tenant, and how many it requests from the tenant's owner. Owned by
-    sidecar/quota_exchange, one a tenant. Pure. */
+/** The tokens of one tenant that a daemon holds, and how many it requests from the tenant's owner. Owned by
+    sidecar/quota_exchange, one per tenant. Pure. */
 #pragma once
 
 #include <algorithm>
@@ -10,32 +10,33 @@
 namespace anisehold::tenancy
 {
 
-/** How long a granted token may be used, from before it was requested. With it, what runs in a window is at
-    most what was granted in a window longer by as much: a sixteenth of a window of five seconds, where a
-    tenth may be gone over; worked out. */
+/** How long a granted token may be used, counted from before it was requested. The requests that run in a
+    window are therefore at most those granted in a window longer by this time: a sixteenth of a window of
+    five seconds, while the quota may be exceeded by a tenth. */
 inline constexpr milliseconds tokenLifetime{ 300 };
-/** Tokens are requested ahead for this time of the daemon's own demand, so that a busy tenant's owner isn't
-    asked at every request. Chosen, not measured. */
+/** Tokens are requested in advance for this duration of the daemon's own demand, so that the owner of a busy
+    tenant is not asked at every request. */
 inline constexpr milliseconds tokenPrefetch{ 150 };
-/** Demand counts half after this time, in seconds. Chosen, not measured. */
+/** Half-life of the demand estimate, in seconds. */
 inline constexpr double demandHalfLifeS = 1.0;
 
-/** What one daemon keeps of one tenant. */
+/** One daemon's tokens and demand of one tenant. */
 struct TokenCache
 {
     unsigned tokens = 0;
     TimePoint usableUntil{};
-    unsigned unused = 0; /**< Ran out, or came back from requests that didn't run; to be returned. */
-    double demand = 0;   /**< Requests, older ones counting less. */
+    unsigned unused = 0; /**< Tokens that expired, or that requests which did not run released; they are
+                            returned to the owner. */
+    double demand = 0;   /**< Exponentially decaying number of requests. */
     TimePoint demandUpdated{};
-    TimePoint refusedUntil{}; /**< The owner had none; it isn't asked before. */
-    TimePoint retryAt{};      /**< When refused requests may come back. */
+    TimePoint refusedUntil{}; /**< The owner had no token; it is not asked again before this time. */
+    TimePoint retryAt{};      /**< When refused requests may be retried. */
 };
 
 inline void decayDemand (TokenCache& cache, TimePoint now)
 {
-    const double passedS = std::chrono::duration<double> (now - cache.demandUpdated).count();
-    cache.demand *= std::exp2 (-std::min (passedS, 100.0) / demandHalfLifeS);
+    const double elapsedS = std::chrono::duration<double> (now - cache.demandUpdated).count();
+    cache.demand *= std::exp2 (-std::min (elapsedS, 100.0) / demandHalfLifeS);
     cache.demandUpdated = now;
 }
 
@@ -45,7 +46,7 @@
     cache.demand += 1;
 }
 
-/** Takes one token, if one is left. */
+/** Takes one token, if available. */
 inline bool takeToken (TokenCache& cache, TimePoint now)
 {
     if (now >= cache.usableUntil)
@@ -61,13 +62,13 @@
     return true;
 }
 
-/** A request that had taken a token didn't run. */
+/** Records that a request which had taken a token did not run. */
 inline void returnUnusedToken (TokenCache& cache)
 {
     ++cache.unused;
 }
 
-/** How many tokens are requested while `waiting` requests need one. */
+/** Returns how many tokens to request while `waiting` requests need one. */
 inline unsigned tokensWanted (const TokenCache& cache, unsigned waiting)
 {
     const double perS = cache.demand * std::log (2.0) / demandHalfLifeS;
@@ -75,7 +76,7 @@
     return std::max (waiting, ahead);
 }
 
-/** The owner replied to a request for tokens that was sent at `sent`. */
+/** Adds tokens from the owner's reply to a request that was sent at `sent`. */
 inline void addGrant (TokenCache& cache, TimePoint sent, unsigned granted)
 {
     cache.tokens += granted;
--- a/tests/unit/tenancy/caller_verdict_test.cpp
+++ b/tests/unit/tenancy/caller_verdict_test.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE ("whose request it is and whether it may be served")
+TEST_CASE ("a request's key identifies its tenant and decides on its admission")
 {
     const auto ring = ringOf ("blue", "green");
     const auto fresh = provenAt (start);
@@ -49,14 +49,14 @@
     CHECK (judgeCaller (ring, fresh, start, withKey ("k3"), keyed).admission == Admission::unauthorized);
     CHECK (judgeCaller (ring, fresh, start, {}, keyed).admission == Admission::unauthorized);
     CHECK (judgeCaller (ring, fresh, start, {}, open).admission == Admission::anonymous);
-    // A key counts also where none is needed, and one that nobody holds isn't passed over.
+    // A key is checked even on a route that needs none, and an unknown key is not ignored.
     CHECK (judgeCaller (ring, fresh, start, withKey ("k2"), open).tenant->name.value == "green");
     CHECK (judgeCaller (ring, fresh, start, withKey ("k3"), open).admission == Admission::unauthorized);
     CHECK (judgeCaller (ring, fresh, start, { std::nullopt, true }, open).admission ==
            Admission::unauthorized);
 }
 
-TEST_CASE ("two tenants that swap their keys are told apart by the configuration in force")
+TEST_CASE ("after two tenants swap their keys, the configuration in force decides")
 {
     const auto fresh = provenAt (start);
     const auto before = ringOf ("blue", "green");
@@ -65,7 +65,7 @@
     CHECK (judgeCaller (after, fresh, start, withKey ("k1"), {}).tenant->name.value == "green");
 }
 
-TEST_CASE ("a tenant without keys serves nobody")
+TEST_CASE ("a key that no tenant holds is rejected")
 {
     KeyRing ring;
     ring.tenants[TenantName ("blue")] = { TenantName ("blue"), 1, {} };
@@ -73,7 +73,7 @@
            Admission::unauthorized);
 }
 
-TEST_CASE ("a key is served only on a proof that is recent enough")
+TEST_CASE ("a key is accepted only on a proof that is recent enough")
 {
     const auto ring = ringOf ("blue", "green");
     const auto freshness = provenAt (start);
@@ -83,15 +83,15 @@
 
     CHECK (at (milliseconds (4'700), "k1") == Admission::known);
     CHECK (at (milliseconds (4'800), "k1") == Admission::unproven);
-    // An unknown key may be newer than what this daemon knows.
+    // An unknown key may be newer than this daemon's configuration.
     CHECK (at (milliseconds (1'900), "k3") == Admission::unauthorized);
     CHECK (at (milliseconds (2'100), "k3") == Admission::unproven);
     CHECK (judgeCaller (ring, {}, start, withKey ("k1"), rules).admission == Admission::unproven);
-    // Requests without a key go on.
+    // Requests without a key are not affected.
     CHECK (judgeCaller (ring, {}, start, {}, { true, bound }).admission == Admission::anonymous);
 }
 
-TEST_CASE ("a tenant's priority goes before the route's")
+TEST_CASE ("a tenant's priority takes precedence over the route's")
 {
     auto ring = ringOf ("blue", "green");
     ring.tenants[TenantName ("blue")].priority = 0;
@@ -102,7 +102,7 @@
 
     CHECK (rankOf (ring, blue, 2) < rankOf (ring, green, 0));
     CHECK (rankOf (ring, green, 0) < rankOf (ring, green, 1));
-    // A call that a server makes stands among those of most tenants.
+    // A call made by a server gets the most common tenant priority.
     CHECK (rankOf (ring, nullptr, 1) == rankOf (ring, green, 1));
     CHECK (rankOf ({}, nullptr, 2) == 2);
 }
--- a/tests/unit/tenancy/quota_test.cpp
+++ b/tests/unit/tenancy/quota_test.cpp
@@ -28,16 +28,16 @@
     return names;
 }
 
-/** What a fleet let in over a window of five seconds, at most, and of how many. */
+/** The maximum number of requests admitted in a window of five seconds, and totals. */
 struct SimulationResult
 {
-    std::size_t mostInWindow = 0;
+    std::size_t maxInWindow = 0;
     std::size_t served = 0;
     std::size_t offered = 0;
-    std::size_t questions = 0;
+    std::size_t ownerRequests = 0;
 };
 
-std::size_t mostInWindow (const std::vector<TimePoint>& times)
+std::size_t maxInWindow (const std::vector<TimePoint>& times)
 {
     std::size_t most = 0;
     std::size_t first = 0;
@@ -53,10 +53,10 @@
     return most;
 }
 
-/** One tenant's requests over a fleet, by the second. */
+/** One tenant's requests per second over the whole fleet. */
 using RateAt = std::function<double (double second)>;
 
-/** Requests come to daemons at random; each daemon asks the owner, two milliseconds there and back. */
+/** Requests arrive at random daemons; each daemon asks the owner, with a round trip of two milliseconds. */
 SimulationResult simulateOwner (std::size_t fleet, const RateAt& rate, std::uint32_t seed)
 {
     std::mt19937 random (seed);
@@ -80,7 +80,7 @@
 
             if (! has && now >= cache.refusedUntil)
             {
-                ++result.questions;
+                ++result.ownerRequests;
                 returnTokens (bucket, now, terms, std::exchange (cache.unused, 0));
                 const auto grant = takeTokens (bucket, now, terms, tokensWanted (cache, 1));
                 addGrant (cache, now, grant.granted);
@@ -96,11 +96,11 @@
     }
 
     result.served = served.size();
-    result.mostInWindow = mostInWindow (served);
+    result.maxInWindow = maxInWindow (served);
     return result;
 }
 
-/** The same with an equal part of the quota at each daemon. */
+/** The same load with an equal part of the quota at each daemon. */
 SimulationResult simulateEqualParts (std::size_t fleet, const RateAt& rate, std::uint32_t seed)
 {
     std::mt19937 random (seed);
@@ -125,27 +125,27 @@
     }
 
     result.served = served.size();
-    result.mostInWindow = mostInWindow (served);
+    result.maxInWindow = maxInWindow (served);
     return result;
 }
 
-/** The same with counts that daemons tell each other once a second: each lets in what the fleet's count of a
-    second ago leaves, in debt if need be. */
+/** The same load with counts that daemons exchange once a second: each daemon admits what the fleet's count
+    of a second ago leaves, and the balance may become negative. */
 SimulationResult simulateExchangedCounts (std::size_t fleet, const RateAt& rate, std::uint32_t seed)
 {
     std::mt19937 random (seed);
     auto known = makeBucket (terms, start, start - seconds (10));
     SimulationResult result;
     std::vector<TimePoint> served;
-    std::deque<TimePoint> unheard;
+    std::deque<TimePoint> unknown;
 
     for (auto now = start; now < start + seconds (20); now += milliseconds (2))
     {
-        while (! unheard.empty() && now - unheard.front() >= seconds (1))
+        while (! unknown.empty() && now - unknown.front() >= seconds (1))
         {
-            fill (known, unheard.front() + seconds (1), terms);
+            fill (known, unknown.front() + seconds (1), terms);
             known.tokens -= 1;
-            unheard.pop_front();
+            unknown.pop_front();
         }
 
         fill (known, now, terms);
@@ -160,13 +160,13 @@
                 continue;
 
             served.push_back (now);
-            unheard.push_back (now);
+            unknown.push_back (now);
         }
     }
 
     (void)fleet;
     result.served = served.size();
-    result.mostInWindow = mostInWindow (served);
+    result.maxInWindow = maxInWindow (served);
     return result;
 }
 
@@ -175,7 +175,7 @@
 
 } // namespace
 
-TEST_CASE ("a bucket gives its rate and burst, and no more")
+TEST_CASE ("a bucket grants no more than its rate and burst")
 {
     auto bucket = makeBucket (terms, start, start - seconds (10));
     CHECK (takeTokens (bucket, start, terms, 150).granted == 100);
@@ -183,12 +183,12 @@
     CHECK (takeTokens (bucket, start + milliseconds (50), terms, 10).granted == 5);
     returnTokens (bucket, start + milliseconds (50), terms, 3);
     CHECK (takeTokens (bucket, start + milliseconds (50), terms, 10).granted == 3);
-    // Idle for long, it holds its burst again; returned tokens don't go beyond it.
+    // After a long idle time the bucket holds its burst again; returned tokens do not exceed the burst.
     returnTokens (bucket, start + seconds (60), terms, 50);
     CHECK (takeTokens (bucket, start + seconds (60), terms, 500).granted == 100);
 }
 
-TEST_CASE ("a new owner doesn't give the burst that its predecessor may have given")
+TEST_CASE ("a new owner does not grant the burst that its predecessor may have granted")
 {
     auto bucket = makeBucket (terms, start, start);
     CHECK (takeTokens (bucket, start, terms, 100).granted == static_cast<unsigned> (initialOwnerTokens));
@@ -196,14 +196,14 @@
     CHECK (takeTokens (later, start, terms, 100).granted == 58);
 }
 
-TEST_CASE ("a lowered quota holds at once")
+TEST_CASE ("a lowered quota applies at once")
 {
     auto bucket = makeBucket (terms, start, start - seconds (10));
     CHECK (takeTokens (bucket, start, { 10, 10 }, 100).granted == 10);
     CHECK (takeTokens (bucket, start + seconds (1), { 10, 10 }, 100).granted == 10);
 }
 
-TEST_CASE ("refused requests are told to come back one after the other")
+TEST_CASE ("refused requests get increasing retry times, one after the other")
 {
     auto bucket = makeBucket (terms, start, start - seconds (10));
     CHECK (takeTokens (bucket, start, terms, 100).retryAfter == Duration::zero());
@@ -214,7 +214,7 @@
     CHECK (takeTokens (bucket, start, terms, 100'000).retryAfter == retry_after::kMaxQuotaExceeded);
 }
 
-TEST_CASE ("tokens that aren't used in time are returned")
+TEST_CASE ("tokens that are not used in time are returned")
 {
     TokenCache cache;
     addGrant (cache, start, 5);
@@ -225,7 +225,7 @@
     CHECK (cache.unused == 5);
 }
 
-TEST_CASE ("a busy daemon asks ahead, a quiet one for each request")
+TEST_CASE ("a busy daemon requests tokens in advance, an idle one for each request")
 {
     TokenCache busy;
 
@@ -239,7 +239,7 @@
     CHECK (tokensWanted (quiet, 1) == 1);
 }
 
-TEST_CASE ("all daemons of a side name the same owner, and a smaller side names none")
+TEST_CASE ("all daemons of the larger side of a partition name an owner, and the smaller side names none")
 {
     const auto names = daemons (71);
     OwnerCandidates all{ names, 71, 71 };
@@ -258,9 +258,9 @@
     CHECK (ownerOf ({ { "alone" }, 1, 1 }, TenantName ("t")));
 }
 
-TEST_CASE ("daemons that have heard different peers name the same owner")
+TEST_CASE ("daemons that have seen different peers name the same owner")
 {
-    // After a restart of all, each daemon has the store's list and has heard some of the others.
+    // After a restart of the whole fleet, each daemon has the store's list and has seen some of the others.
     const auto names = daemons (71);
 
     for (int i = 0; i < 100; ++i)
@@ -270,7 +270,7 @@
     }
 }
 
-TEST_CASE ("an owner that goes takes only its own tenants along")
+TEST_CASE ("a removed owner changes the owner of its own tenants only")
 {
     auto names = daemons (71);
     const OwnerCandidates all{ names, 71, 71 };
@@ -287,9 +287,9 @@
     }
 }
 
-TEST_CASE ("a quota holds over the fleet and refuses nothing below it")
+TEST_CASE ("a quota applies to the whole fleet and refuses nothing below it")
 {
-    // A tenant at 0.6 of its rate, and one that sends five times its rate from the seventh second on.
+    // A tenant at 0.6 of its rate, and a tenant that sends five times its rate from the seventh second on.
     const RateAt usual = [] (double) { return 60.0; };
     const RateAt hot = [] (double second) { return second < 7 ? 60.0 : 500.0; };
 
@@ -298,17 +298,17 @@
         const auto calm = simulateOwner (fleet, usual, 3);
         CHECK (calm.served == calm.offered);
         const auto crowded = simulateOwner (fleet, hot, 3);
-        CHECK (crowded.mostInWindow <= allowedInWindow);
-        // Little of what is owed is lost: 7 s at 60, the burst, and 13 s at 100.
+        CHECK (crowded.maxInWindow <= allowedInWindow);
+        // Nearly all of the quota is served: 7 s at 60, the burst, and 13 s at 100.
         CHECK (crowded.served >= 1'750);
     }
 }
 
-TEST_CASE ("counting at one owner goes before equal parts and exchanged counts")
+TEST_CASE ("counting at one owner is better than equal parts and exchanged counts")
 {
-    // Measured with this model, 71 daemons, quota 100 a second, 20 s. Usual tenant (60 a second): served by
-    // an owner 1.00, by equal parts 0.73, by counts of a second ago 1.00. Tenant at five times its quota:
-    // most within 5 s 599, 511 and 881, where 680 are allowed.
+    // Results of this model with 71 daemons, quota 100 per second, 20 s. Typical tenant (60 per second):
+    // share served by an owner 1.00, by equal parts 0.73, by counts of a second ago 1.00. Tenant at five
+    // times its quota: maximum within 5 s 599, 511 and 881, where 680 are allowed.
     const RateAt usual = [] (double) { return 60.0; };
     const RateAt hot = [] (double second) { return second < 7 ? 60.0 : 500.0; };
     const auto byOwner = simulateOwner (71, usual, 5);
@@ -321,7 +321,8 @@
     const auto hotOwner = simulateOwner (71, hot, 5);
     const auto hotParts = simulateEqualParts (71, hot, 5);
     const auto hotCounts = simulateExchangedCounts (71, hot, 5);
-    INFO ("most " << hotOwner.mostInWindow << " " << hotParts.mostInWindow << " " << hotCounts.mostInWindow);
-    CHECK (hotOwner.mostInWindow <= allowedInWindow);
-    CHECK (hotCounts.mostInWindow > allowedInWindow);
+    INFO ("maximum in window " << hotOwner.maxInWindow << " " << hotParts.maxInWindow << " "
+                               << hotCounts.maxInWindow);
+    CHECK (hotOwner.maxInWindow <= allowedInWindow);
+    CHECK (hotCounts.maxInWindow > allowedInWindow);
 }
--- a/tests/unit/tenancy/tenancy_messages_test.cpp
+++ b/tests/unit/tenancy/tenancy_messages_test.cpp
@@ -5,7 +5,7 @@
 using namespace anisehold;
 using namespace anisehold::tenancy;
 
-TEST_CASE ("messages about tenants come back as they were sent")
+TEST_CASE ("tenancy messages survive encoding and decoding")
 {
     const Requester requester{ *parse_endpoint ("10.1.0.8:7620"), 77, 123'456'789 };
     const auto question = decode (encode (QuotaRequest{ requester, "blue", 3, 2 }));
@@ -25,7 +25,7 @@
     CHECK (boost::get<ProofReply> (&*answer) != nullptr);
 }
 
-TEST_CASE ("bytes that are no message about tenants are told apart")
+TEST_CASE ("invalid bytes are rejected as a tenancy message")
 {
     CHECK_FALSE (decode (""));
     CHECK_FALSE (decode ("B-record"));
