--- a/src/claims/claim_holder.cpp
+++ b/src/claims/claim_holder.cpp
@@ -15,7 +15,7 @@
     sealed_epoch_ = std::max(sealed_epoch_, view.epoch - 1);
     view_ = view;
     missing_ = view.previous;
-    // What this very process granted under the previous view it still knows, if it served that view.
+    // This process still knows its own grants under the previous view if it served that view.
     if (served_epochs_.contains(view.epoch - 1)) {
         std::erase(missing_, self_);
     }
@@ -125,7 +125,7 @@
     if (from_the_future) {
         return reply;
     }
-    // From here on this holder grants nothing more under the old view: the answer must stay complete.
+    // From now on this holder grants nothing under the old view, so that the reply stays complete.
     sealed_epoch_ = std::max(sealed_epoch_, request.old_epoch);
     if (view_.epoch <= sealed_epoch_) {
         serving_ = false;
--- a/src/claims/claim_holder.hpp
+++ b/src/claims/claim_holder.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// One holder's part in making a non-repeatable request run at most once. Owns the grants that it made or
-/// took over; relies on the holder view for its keys, and on the claimants' own random numbers to tell them
-/// apart.
+/// One holder's part in making a non-repeatable request run at most once. Owns the grants that the holder
+/// made or took over; relies on the holder view for its keys, and on the claimants' random numbers to
+/// distinguish the claimants.
 #pragma once
 
 #include <map>
@@ -17,24 +17,27 @@
 
 namespace anisehold::claims {
 
-/// Grants each key at most once in the memory window. Grants only while it serves an epoch: after it has
-/// learned what the holders of the epoch before granted, or once those are gone and forgotten. Nothing
-/// here depends on a lease: a paused holder grants only what it hasn't granted. Pure.
+/// Grants each key at most once within the claim window. A holder grants only while it serves an epoch: after
+/// it has learned what the holders of the previous epoch granted, or once those holders are gone and their
+/// grants have expired. Nothing depends on a lease: a holder that was paused grants only keys that it has not
+/// granted. Pure.
 class ClaimHolder {
   public:
-    /// `abstains` is switched off only in the lab.
+    /// `abstains` is disabled only in the lab.
     ClaimHolder(Holder self, Duration window, bool abstains = true);
 
-    /// Takes a newer view; an older or equal one is ignored. Granting stops until the view is served.
+    /// Installs a newer view; an older or equal one is ignored. Granting stops until the holder serves the
+    /// view.
     void install_view(const HolderView& view);
-    /// Holders of the previous view that still have to be asked.
+    /// Returns the holders of the previous view that still have to be asked for their grants.
     std::vector<Holder> sync_sources() const;
-    /// The request to send to those.
+    /// Returns the request to send to the sync sources.
     ClaimSyncRequest sync_request() const;
     void on_sync_reply(TimePoint now, const std::string& from, const ClaimSyncReply& reply);
-    /// Drops claims older than the window. `gone` are processes that are known to have ended, such as one
-    /// that another process with the same id has replaced (not merely unreachable ones). Once such a process
-    /// has been gone for a whole window, all that it granted is forgotten anyway, and it is no longer missed.
+    /// Drops claims older than the window. `gone`: processes that are known to have ended (not merely
+    /// unreachable ones), for example because another process with the same id has replaced them. Once such a
+    /// process has been gone for a whole window, all its grants have expired, so its sync reply is no longer
+    /// needed.
     void tick(TimePoint now, const std::vector<Holder>& gone);
 
     ClaimReply handle(TimePoint now, const ClaimRequest& request);
@@ -42,7 +45,7 @@
     ClaimSyncReply handle(TimePoint now, const ClaimSyncRequest& request);
 
     bool serving() const { return serving_; }
-    /// Whether it grants claims under this epoch.
+    /// Whether this holder grants claims under `epoch`.
     bool serves(std::uint64_t epoch) const { return serving_ && view_.epoch == epoch; }
     const HolderView& view() const { return view_; }
     std::size_t size() const { return claims_.size(); }
@@ -62,12 +65,12 @@
     bool abstains_;
     HolderView view_;
     bool serving_ = false;
-    std::uint64_t sealed_epoch_ = 0;  // Grants under this epoch and older ones have ended.
+    std::uint64_t sealed_epoch_ = 0;  // This holder grants nothing more under this epoch or older ones.
     std::set<std::uint64_t> served_epochs_;
-    std::vector<Holder> missing_;  // Of the previous view: not yet heard from.
-    std::map<std::pair<std::string, std::uint64_t>, TimePoint> gone_since_;  // By id and boot id.
-    /// A key has several claims only where holders of the old view knew of different ones: at most one of
-    /// them won, and which isn't known here.
+    std::vector<Holder> missing_;  // Holders of the previous view that have not sent a complete sync reply.
+    std::map<std::pair<std::string, std::uint64_t>, TimePoint> gone_since_;  // Keyed by id and boot id.
+    /// A key has several claims only if holders of the old view knew of different ones: at most one of them
+    /// won, and this holder does not know which.
     std::unordered_map<std::string, std::vector<Claim>> claims_;
 };
 
--- a/src/claims/claim_tally.hpp
+++ b/src/claims/claim_tally.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The claimant's side: counts the holders' answers. Owns the counts of one claim.
+/// The claimant's side: counts the holders' replies. Owns the counts of one claim.
 #pragma once
 
 #include <cstddef>
@@ -10,10 +10,10 @@
 namespace anisehold::claims {
 
 enum class ClaimResult {
-    kPending,      ///< More answers are needed.
-    kWon,          ///< A majority granted: the request may run, once.
+    kPending,      ///< More replies are needed.
+    kWon,          ///< A majority granted the claim: the request may run, once.
     kDuplicate,    ///< Another attempt holds the key, as far as any holder knows.
-    kUnavailable,  ///< No majority, and nobody knows of another attempt.
+    kUnavailable,  ///< No majority, and no holder knows of another attempt.
 };
 
 /// Tallies one claim over its holders. Pure.
@@ -22,11 +22,11 @@
     explicit ClaimTally(std::size_t holders) : holders_(holders) {}
 
     void on_reply(const ClaimReply& reply);
-    /// A holder that could not be asked or didn't answer.
+    /// Counts a holder that could not be asked or did not reply.
     void on_no_reply() { ++answered_; }
 
     ClaimResult result() const;
-    /// The claim that stands in the way, when the result is `kDuplicate`: the furthest known one.
+    /// The conflicting claim if the result is `kDuplicate`: the one known to have progressed furthest.
     const ClaimReply& standing() const { return standing_; }
 
   private:
--- a/src/claims/claim_types.hpp
+++ b/src/claims/claim_types.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Messages and values of the claims that make a non-repeatable request run at most once: it runs only when
-/// more than half of the holders of its key have granted it to this attempt.
+/// Messages and values of the claims that make a non-repeatable request run at most once: a request runs only
+/// if more than half of the holders of its key have granted the key to this attempt.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 
 namespace anisehold::claims {
 
-/// What is known about the request that holds a key.
+/// State of the request that holds a key.
 enum class ClaimState : std::uint8_t {
     kInProgress,
     kCompleted,
-    kUnknown,  ///< Its coordinator doesn't know whether it ran.
+    kUnknown,  ///< The coordinator does not know whether the request ran.
 };
 
-/// A request for one key by one attempt to run it.
+/// One attempt's request for a key.
 struct ClaimRequest {
-    std::uint64_t epoch = 0;     ///< Of the holder view that the claimant uses.
+    std::uint64_t epoch = 0;     ///< Epoch of the holder view that the claimant uses.
     std::string key;             ///< Digest of service, method, path and idempotency key.
-    std::uint64_t claimant = 0;  ///< Random; identifies this attempt. Never reused.
+    std::uint64_t claimant = 0;  ///< Random number that identifies this attempt. Never reused.
     std::uint64_t fingerprint =
-        0;  ///< Digest of the request; a later request with the same key must have the same.
+        0;  ///< Digest of the request; a later request with the same key must have the same digest.
     std::string coordinator;  ///< Member id of the claimant's daemon.
     std::uint64_t coordinator_boot = 0;
 
@@ -38,14 +38,14 @@
 /// A holder's decision on a claim.
 enum class ClaimVerdict : std::uint8_t {
     kGranted,
-    kDenied,   ///< Granted to another claimant before.
-    kAbstain,  ///< This holder may not answer (not synced, other epoch, not a holder).
+    kDenied,   ///< Already granted to another claimant.
+    kAbstain,  ///< This holder may not decide (not synchronized, other epoch, or not a holder).
 };
 
 struct ClaimReply {
     ClaimVerdict verdict = ClaimVerdict::kAbstain;
-    std::uint64_t epoch = 0;                     ///< The holder's own epoch.
-    ClaimState state = ClaimState::kInProgress;  ///< Of the claim that stands, when denied.
+    std::uint64_t epoch = 0;                     ///< The holder's current epoch.
+    ClaimState state = ClaimState::kInProgress;  ///< If denied: the state of the conflicting claim.
     std::uint64_t fingerprint = 0;
     std::string coordinator;
     std::uint64_t coordinator_boot = 0;
@@ -56,14 +56,14 @@
     }
 };
 
-/// What a claimant sends the holders at the end.
+/// The final state that a claimant sends to the holders.
 enum class ClaimEnd : std::uint8_t {
     kCompleted,
     kUnknown,
-    kReleased,  ///< The claimant has decided never to run; the key is free again.
+    kReleased,  ///< The claimant has decided not to run the request; the key is free again.
 };
 
-/// Stable lower-case name, for logs.
+/// Stable lower-case name for logs.
 inline std::string_view end_name(ClaimEnd end) {
     switch (end) {
         case ClaimEnd::kCompleted:
@@ -87,7 +87,7 @@
     }
 };
 
-/// A grant as it passes between holders when the view changes.
+/// A grant as transferred between holders when the view changes.
 struct ClaimEntry {
     ClaimRequest request;
     ClaimState state = ClaimState::kInProgress;
@@ -99,7 +99,8 @@
     }
 };
 
-/// Asks a holder of the old view for its grants. The answerer stops granting under `old_epoch` first.
+/// Asks a holder of the old view for its grants. The receiver stops granting under `old_epoch` before it
+/// replies.
 struct ClaimSyncRequest {
     std::uint64_t old_epoch = 0;
     std::uint64_t new_epoch = 0;
@@ -112,7 +113,8 @@
 };
 
 struct ClaimSyncReply {
-    bool complete = false;  ///< The answerer knew all grants made by it under the old view.
+    bool complete =
+        false;  ///< The reply contains all grants that the replying holder made under the old view.
     std::vector<ClaimEntry> entries;
 
     template <typename Archive>
--- a/src/claims/holder_view.cpp
+++ b/src/claims/holder_view.cpp
@@ -59,13 +59,13 @@
 std::vector<Holder> holders_of_key(const std::vector<Holder>& holders, std::string_view key) {
     const auto order = routing::rendezvous_order(ids_of(holders), key);
     std::vector<Holder> picked;
-    std::vector<Holder> passed_over;
+    std::vector<Holder> remaining;
     std::set<std::string> zones;
     for (const auto index : order) {
         const bool new_zone = picked.size() < kHoldersPerKey && zones.insert(holders[index].zone).second;
-        (new_zone ? picked : passed_over).push_back(holders[index]);
+        (new_zone ? picked : remaining).push_back(holders[index]);
     }
-    for (const auto& holder : passed_over) {
+    for (const auto& holder : remaining) {
         if (picked.size() < kHoldersPerKey) {
             picked.push_back(holder);
         }
@@ -75,22 +75,22 @@
 
 bool can_reconstruct_grants(const std::vector<Holder>& holders, const std::vector<Holder>& missing) {
     const std::size_t per_key = std::min(kHoldersPerKey, holders.size());
-    // With enough zones, the holders of a key stand in different ones.
+    // With enough zones, the holders of a key are in different zones.
     const bool zones_differ = zone_count(holders) >= kHoldersPerKey;
-    const std::size_t most_missing = zones_differ ? zone_count(missing) : missing.size();
-    return most_missing < majority_of(per_key);
+    const std::size_t max_missing = zones_differ ? zone_count(missing) : missing.size();
+    return max_missing < majority_of(per_key);
 }
 
 std::vector<Holder> choose_holders(const std::vector<Holder>& current, const std::vector<Holder>& working,
                                    std::size_t per_zone) {
     std::vector<Holder> chosen;
-    std::map<std::string, std::size_t> taken;
+    std::map<std::string, std::size_t> num_in_zone;
     const auto is_in = [](const std::vector<Holder>& holders, const Holder& holder) {
         return std::find(holders.begin(), holders.end(), holder) != holders.end();
     };
     const auto take = [&](const Holder& holder) {
-        if (taken[holder.zone] < per_zone && !is_in(chosen, holder)) {
-            ++taken[holder.zone];
+        if (num_in_zone[holder.zone] < per_zone && !is_in(chosen, holder)) {
+            ++num_in_zone[holder.zone];
             chosen.push_back(holder);
         }
     };
--- a/tests/unit/claims/claims_test.cpp
+++ b/tests/unit/claims/claims_test.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("a key's holders stand in different zones where there are enough") {
+TEST_CASE("a key's holders are in different zones if there are enough zones") {
     std::vector<Holder> holders;
     holders.reserve(9);
     for (int index = 0; index < 9; ++index) {
@@ -45,7 +45,7 @@
     CHECK(holders_of_key({}, "x").empty());
 }
 
-TEST_CASE("missing one zone's holders leaves all grants known, missing two doesn't") {
+TEST_CASE("all grants are known without one zone's holders, but not without two zones' holders") {
     const std::vector<Holder> holders{holder("a", 1, "x"), holder("b", 1, "y"), holder("c", 1, "z"),
                                       holder("d", 1, "x")};
     CHECK(can_reconstruct_grants(holders, {}));
@@ -54,7 +54,7 @@
     CHECK_FALSE(can_reconstruct_grants({holders[0]}, {holders[0]}));
 }
 
-TEST_CASE("holders are kept, and replaced up to the number per zone") {
+TEST_CASE("current holders are kept, and others are added up to the number per zone") {
     const std::vector<Holder> current{holder("a", 1, "x"), holder("b", 1, "y")};
     const std::vector<Holder> working{holder("a", 1, "x"), holder("b", 2, "y"), holder("c", 1, "x"),
                                       holder("d", 1, "x")};
@@ -64,7 +64,7 @@
     CHECK(choose_holders(chosen, working, 2) == chosen);
 }
 
-TEST_CASE("a holder view survives JSON, and malformed text is refused") {
+TEST_CASE("a holder view survives conversion to JSON, and malformed text is rejected") {
     const HolderView view{3, {holder("a", 1, "x")}, {holder("b", 18'000'000'000'000'000'000ULL, "y")}};
     HolderView parsed;
     REQUIRE(parse_holder_view(to_json_text(view), parsed));
@@ -90,7 +90,7 @@
     CHECK(member.handle(at_ms(0), request(1, "k", 8)).verdict == ClaimVerdict::kGranted);
 }
 
-TEST_CASE("a holder of a new view abstains until it has heard from enough of the old ones") {
+TEST_CASE("a holder of a new view abstains until enough holders of the old view have replied") {
     const std::vector<Holder> old{holder("a", 1, "x"), holder("b", 1, "y"), holder("c", 1, "z")};
     const std::vector<Holder> next{old[0], old[1], holder("c", 2, "z")};
     ClaimHolder a(old[0], kWindow);
@@ -110,7 +110,9 @@
     CHECK(restarted.handle(at_ms(2), request(2, "k", 8)).verdict == ClaimVerdict::kDenied);
 }
 
-TEST_CASE("after the loss of all holders the new ones wait until the old are gone for a whole window") {
+TEST_CASE(
+    "after the loss of all holders, new holders abstain until the old ones have been gone for a whole "
+    "window") {
     const std::vector<Holder> old{holder("a", 1, "x"), holder("b", 1, "y"), holder("c", 1, "z")};
     const std::vector<Holder> next{holder("a", 2, "x"), holder("b", 2, "y"), holder("c", 2, "z")};
     ClaimHolder a(next[0], kWindow);
@@ -125,7 +127,7 @@
     CHECK(a.serving());
 }
 
-TEST_CASE("a tally wins by majority, and says duplicate only when a holder knows of one") {
+TEST_CASE("a tally wins by majority, and reports a duplicate only if a holder knows of another attempt") {
     const auto reply = [](ClaimVerdict verdict) {
         ClaimReply result;
         result.verdict = verdict;
@@ -151,7 +153,7 @@
 namespace {
 
 /// Explores random schedules of claims: claimants, holders that crash, restart and pause, messages that are
-/// lost, doubled and reordered, changes of the view. Counts keys that two claimants won.
+/// lost, duplicated and reordered, and view changes. Counts keys that two claimants won.
 class ScheduleChecker {
   public:
     ScheduleChecker(std::uint64_t seed, bool abstains) : random_(seed), abstains_(abstains) {
@@ -194,7 +196,7 @@
         ClaimTally tally{0};
         bool ended = false;
     };
-    /// A message to a holder: a claim, a release, or a question of another holder for its grants.
+    /// A message to a holder: a claim, a release, or another holder's request for its grants.
     struct Message {
         enum class Kind { kClaim, kUpdate, kSync } kind;
         std::size_t node;
@@ -203,7 +205,7 @@
         ClaimUpdate update;
         ClaimSyncRequest sync;
         std::size_t requester = 0;
-        std::uint64_t asker_boot = 0;
+        std::uint64_t requester_boot = 0;
     };
 
     TimePoint now() const { return at_ms(now_ms_); }
@@ -257,7 +259,7 @@
                     Message message{Message::Kind::kSync,      index, source.boot_id, 0, {},
                                     node.state->sync_request()};
                     message.requester = static_cast<std::size_t>(&node - nodes_.data());
-                    message.asker_boot = node.self.boot_id;
+                    message.requester_boot = node.self.boot_id;
                     messages_.push_back(message);
                 }
             }
@@ -266,7 +268,7 @@
 
     void start_claim() {
         const auto id = next_id_++;
-        // Few keys, so that claimants meet.
+        // Few keys, so that claimants conflict.
         const std::string key = std::to_string(random_() % 5 + now_ms_ / 2'000 * 5);
         const auto holders = holders_of_key(view_.holders, key);
         claimants_[id] = Claimant{key, request(view_.epoch, key, id), ClaimTally(holders.size()), false};
@@ -315,7 +317,7 @@
         } else if (message.kind == Message::Kind::kSync) {
             const auto reply = node.state->handle(now(), message.sync);
             Node& requester = nodes_[message.requester];
-            const bool still_there = requester.self.boot_id == message.asker_boot &&
+            const bool still_there = requester.self.boot_id == message.requester_boot &&
                                      requester.state->view().epoch == message.sync.new_epoch;
             if (still_there) {
                 requester.state->on_sync_reply(now(), node.self.id, reply);
@@ -379,7 +381,7 @@
     CHECK(result.wins > 1'000);
 }
 
-TEST_CASE("the schedule checker finds the fault when restarted holders don't abstain") {
+TEST_CASE("the schedule checker detects the fault when restarted holders do not abstain") {
     const auto result = check_schedules(false, 400, 5'000);
     CHECK(result.violations > 0);
 }
