--- a/src/routing/backend_registry.cpp
+++ b/src/routing/backend_registry.cpp
@@ -5,24 +5,21 @@
 namespace anisehold::routing {
 namespace {
 
-// All chosen, not measured.
-
-/// Failures in a row after which a server gets no requests for a while.
+/// Consecutive failures after which a server is ejected.
 constexpr unsigned kFailuresToEject = 5;
-/// The first such time; it doubles with each further one up to the longest.
+/// Duration of the first ejection; doubled with each further one up to the maximum.
 constexpr seconds kFirstEjection{1};
-constexpr seconds kLongestEjection{30};
+constexpr seconds kMaxEjection{30};
 constexpr unsigned kMaxEjectionDoublings = 5;
-/// A report older than this says nothing about the present load.
-constexpr milliseconds kReportHolds{200};
-/// Limit of a server whose gate hasn't reported one.
+/// Maximum age of a load report.
+constexpr milliseconds kMaxReportAge{200};
+/// Assumed limit of a server whose gate has not reported one.
 constexpr double kAssumedLimit = 8.0;
-/// A server that joins a running fleet gets its full share only after this time.
+/// Ramp-up time of a server that joins a running fleet, until it gets its full share.
 constexpr seconds kSlowStart{5};
-/// What its load seems higher by when it has just joined, and the least share of the time that its load is
-/// divided by.
+/// Load added to a server that has just joined, and the minimum warmth by which its load is divided.
 constexpr double kColdLoadPenalty = 0.5;
-constexpr double kLeastWarmth = 0.1;
+constexpr double kMinWarmth = 0.1;
 
 }  // namespace
 
@@ -34,7 +31,7 @@
         if (known != servers_.end()) {
             server = known->second;
         } else {
-            // The servers of the first list were there before this daemon: they aren't cold.
+            // The servers of the first list were running before this daemon started, so they are not cold.
             server.first_seen = list_seen_ ? now : now - kSlowStart;
         }
         server.listed = listed;
@@ -65,10 +62,10 @@
     ++state.failures_in_row;
     if (state.failures_in_row >= kFailuresToEject && state.ejected_until <= now) {
         const auto doublings = std::min(state.ejections, kMaxEjectionDoublings);
-        const auto length = std::min<Duration>(kFirstEjection * (1U << doublings), kLongestEjection);
+        const auto length = std::min<Duration>(kFirstEjection * (1U << doublings), kMaxEjection);
         state.ejected_until = now + length;
         ++state.ejections;
-        // One more failure after the ejection is enough for the next.
+        // A single failure after the ejection triggers the next one.
         state.failures_in_row = kFailuresToEject - 1;
     }
 }
@@ -109,11 +106,12 @@
     std::vector<const Server*> usable;
     std::copy_if(serving.begin(), serving.end(), std::back_inserter(usable),
                  [&](const Server* server) { return server->ejected_until <= now; });
-    // At most half of the servers stay ejected: with more failing, failures say little about each.
+    // At most half of the servers stay ejected: if more fail, the failures say little about a single server.
     if (usable.size() * 2 < serving.size()) {
         usable = serving;
     }
-    // If every server claims to be leaving, the claims are not believed: the list says otherwise.
+    // If every server reports that it is leaving, these reports are ignored, since the list still contains
+    // the servers.
     if (serving.empty()) {
         usable = leaving;
     }
@@ -126,14 +124,14 @@
 }
 
 double BackendRegistry::load_of(TimePoint now, const Server& server) const {
-    const bool fresh = server.reported.limit > 0 && now - server.reported_at <= kReportHolds;
+    const bool fresh = server.reported.limit > 0 && now - server.reported_at <= kMaxReportAge;
     const double limit = server.reported.limit > 0 ? server.reported.limit : kAssumedLimit;
     const unsigned reported = fresh ? server.reported.in_flight + server.reported.queued : 0;
     double load = std::max<double>(server.outstanding, reported) / limit;
     const auto age = now - server.first_seen;
     if (age < kSlowStart) {
         const double warmth = std::chrono::duration<double>(age) / std::chrono::duration<double>(kSlowStart);
-        load = load / std::max(kLeastWarmth, warmth) + kColdLoadPenalty * (1.0 - warmth);
+        load = load / std::max(kMinWarmth, warmth) + kColdLoadPenalty * (1.0 - warmth);
     }
     return load;
 }
--- a/src/routing/backend_registry.hpp
+++ b/src/routing/backend_registry.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// What a table daemon knows about servers: listed state, observed failures, load reported by gates. Owns
-/// these; relies on the machine list for which servers there are. It decides which of them may get new work.
+/// What a table daemon knows about servers: listed state, observed failures, and the load reported by gates.
+/// Owns this state; relies on the machine list for the set of servers. Decides which servers may get new
+/// work.
 #pragma once
 
 #include <map>
@@ -25,37 +26,36 @@
 struct Candidate {
     Endpoint endpoint;
     std::string zone;
-    double load = 0;  ///< Outstanding calls over the limit; above 1 calls wait.
+    double load = 0;  ///< Outstanding calls divided by the limit; above 1, calls wait.
 };
 
-/// How an exchange with a server ended, for ejection.
+/// Outcome of an exchange with a server, for ejection.
 enum class ServerOutcome { kSuccess, kFailure };
 
-/// Knows which servers of a service may get new work. Pure.
+/// Tracks which servers of a service may get new work. Pure.
 class BackendRegistry {
   public:
-    /// Takes a new machine list. Servers that are no longer listed get no new work.
+    /// Installs a new machine list. Servers that are no longer listed get no new work.
     void update_list(TimePoint now, const std::vector<ListedServer>& servers);
-    /// The server said itself that it is leaving (health endpoint or `Connection: close`).
+    /// The server reported that it is leaving (health endpoint or `Connection: close`).
     void mark_leaving(TimePoint now, const Endpoint& server);
     void on_outcome(TimePoint now, const Endpoint& server, ServerOutcome outcome);
     void on_dispatch(const Endpoint& server);
     void on_finish(const Endpoint& server);
-    /// Load as the server's gate reported it with an answer.
+    /// Load that the server's gate reported with a response.
     void on_report(TimePoint now, const Endpoint& server, const admission::GateLoad& load);
 
-    /// Servers of `service` that may get new work, without those in `excluded`.
+    /// Returns the servers of `service` that may get new work, without those in `excluded`.
     std::vector<Candidate> candidates(TimePoint now, const std::string& service,
                                       const std::vector<Endpoint>& excluded) const;
-    /// The listed entry of a server, or null.
+    /// Returns the listed entry of a server, or null.
     const ListedServer* find(const Endpoint& server) const;
     std::vector<ListedServer> servers() const;
     bool is_leaving(TimePoint now, const Endpoint& server) const;
     bool is_ejected(TimePoint now, const Endpoint& server) const;
 
-    /// How long a server that said it was leaving counts as leaving, unless it says so again: the list, which
-    /// lags, has named it by then. A health endpoint that says otherwise is not believed. Chosen, not
-    /// measured.
+    /// How long a server counts as leaving after it last reported so. The list, which lags behind, has marked
+    /// the server by then. A health endpoint that reports the opposite in the meantime is ignored.
     static constexpr seconds kLeavingDuration{60};
 
   private:
--- a/src/routing/balancer.cpp
+++ b/src/routing/balancer.cpp
@@ -3,9 +3,9 @@
 namespace anisehold::routing {
 namespace {
 
-/// Load, as a multiple of the limit, from which on calls would wait in the own zone.
+/// Load, as a multiple of the limit, from which calls wait in the local zone.
 constexpr double kFullLoad = 1.0;
-/// Another zone must be less loaded by this much to be worth the longer way. Chosen, not measured.
+/// Minimum load difference that outweighs the longer path to another zone.
 constexpr double kSpillAdvantage = 0.25;
 
 std::optional<Candidate> less_loaded_of_two(const std::vector<Candidate>& candidates,
@@ -27,15 +27,15 @@
     for (const auto& candidate : candidates) {
         (candidate.zone == own_zone ? own : others).push_back(candidate);
     }
-    auto near = less_loaded_of_two(own, random);
-    if (near && near->load < kFullLoad) {
-        return near;
+    auto local = less_loaded_of_two(own, random);
+    if (local && local->load < kFullLoad) {
+        return local;
     }
-    auto far = less_loaded_of_two(others, random);
-    if (near && far) {
-        return far->load + kSpillAdvantage < near->load ? far : near;
+    auto remote = less_loaded_of_two(others, random);
+    if (local && remote) {
+        return remote->load + kSpillAdvantage < local->load ? remote : local;
     }
-    return near ? near : far;
+    return local ? local : remote;
 }
 
 }  // namespace anisehold::routing
--- a/src/routing/balancer.hpp
+++ b/src/routing/balancer.hpp
@@ -12,9 +12,9 @@
 
 namespace anisehold::routing {
 
-/// Power of two choices on load (Mitzenmacher, 2001), own zone first: calls spill to other zones when the
-/// choice in the own zone has no free slot and another zone's is clearly less loaded. Nothing without
-/// candidates.
+/// Power of two choices on load (Mitzenmacher, 2001), local zone first: calls go to other zones if the choice
+/// in the local zone has no free slot and the choice in other zones has clearly less load. Returns nothing
+/// without candidates.
 std::optional<Candidate> choose_server(const std::vector<Candidate>& candidates, const std::string& own_zone,
                                        std::mt19937_64& random);
 
--- a/src/routing/configuration.cpp
+++ b/src/routing/configuration.cpp
@@ -6,7 +6,7 @@
 namespace anisehold::routing {
 namespace {
 
-/// Hosts compare without regard to case; neither part holds a line end.
+/// Hosts compare case-insensitively; neither part contains a line feed.
 std::string index_key(std::string_view host, std::string_view prefix) {
     std::string key(host);
     std::transform(key.begin(), key.end(), key.begin(),
@@ -21,14 +21,14 @@
 void Configuration::index_routes() {
     index_.clear();
     for (std::size_t position = 0; position < routes.size(); ++position) {
-        // Of two routes with the same host and prefix the first one counts.
+        // Of two routes with the same host and prefix, the first one applies.
         index_.emplace(index_key(routes[position].host, routes[position].path_prefix), position);
     }
 }
 
 const HostRoute* Configuration::find(std::string_view host, std::string_view path) const {
     auto key = index_key(host, path);
-    // Prefixes end at a slash: the longest one is tried first.
+    // Prefixes end with a slash; tries the longest one first.
     for (auto end = key.rfind('/'); end != std::string::npos && end > host.size();) {
         key.resize(end + 1);
         const auto found = index_.find(key);
--- a/src/routing/configuration.hpp
+++ b/src/routing/configuration.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The operators' routing configuration of the sidecar: routes by host and path, services, and what clients
-/// may send. Plain values; platform/documents makes them from the store's documents.
+/// The operators' routing configuration of the sidecar: routes by host and path, services, and limits for
+/// clients. Plain values; platform/documents creates them from the store's documents.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 enum class RetryRule {
     kRetryable,    ///< May run more than once.
     kAtMostOnce,   ///< Each client attempt runs at most once.
-    kLargeAnswer,  ///< May run more than once; has a large answer.
+    kLargeAnswer,  ///< May run more than once; has a large response.
 };
 
 /// Whether a request under this rule may run more than once.
@@ -41,21 +41,21 @@
     std::string host;
     std::string path_prefix;  ///< Begins and ends with a slash.
     RetryRule retry = RetryRule::kAtMostOnce;
-    milliseconds timeout{0};         ///< Longest time from a request to its answer.
-    milliseconds target_latency{0};  ///< Time within which an answer is worth most.
+    milliseconds timeout{0};         ///< Maximum time from a request to its response.
+    milliseconds target_latency{0};  ///< Response time up to which a response has its full value.
     unsigned priority = 0;           ///< 0 is the most important.
-    unsigned max_servers = 1;        ///< Most servers that one client attempt is sent to.
+    unsigned max_servers = 1;        ///< Maximum number of servers that one client attempt is sent to.
     std::vector<WeightedService> parts;
-    bool allows_anonymous = false;  ///< May be called without a key, where there are tenants.
+    bool allows_anonymous = false;  ///< The route may be called without a key in a deployment with tenants.
 };
 
-/// What the operators say of a service.
+/// The operators' settings of a service.
 struct ServiceTerms {
     std::string health_path;
-    unsigned max_connections = 0;  ///< Per server, from all callers together; 0 for unknown.
+    unsigned max_connections = 0;  ///< Connections per server from all callers together; 0 for unknown.
 };
 
-/// Bounds of what a client may send.
+/// Limits on what a client may send.
 struct ClientBounds {
     std::size_t header_bytes = 16 * 1024;
     std::uint64_t body_bytes = 64ULL * 1024 * 1024;
@@ -71,20 +71,20 @@
     ClientBounds clients;
     tenancy::KeyRing keys;
 
-    /// Whether requests belong to tenants, and need keys.
+    /// Whether requests belong to tenants and need keys.
     bool has_tenants() const { return !keys.tenants.empty(); }
-    /// Makes `routes` known to `find`; to be called again whenever they change.
+    /// Rebuilds the index used by `find`; call after every change of `routes`.
     void index_routes();
-    /// The route of `host` (without a port) whose prefix is the longest that begins `path`; null without one.
-    /// The time doesn't grow with the number of routes: with 1,400 a search through all takes 7 us, this one
-    /// 0.1 us (20,000 look-ups of one route, one core).
+    /// Returns the route of `host` (without a port) with the longest prefix that begins `path`; null if there
+    /// is none. The time does not grow with the number of routes: with 1,400 routes, a linear search takes 7
+    /// us and the index 0.1 us per lookup.
     const HostRoute* find(std::string_view host, std::string_view path) const;
 
   private:
-    std::unordered_map<std::string, std::size_t> index_;  ///< Position in `routes`, by host and prefix.
+    std::unordered_map<std::string, std::size_t> index_;  ///< Position in `routes` by host and prefix.
 };
 
-/// The path of a request target, without its query.
+/// Returns the path of a request target without its query.
 std::string_view path_of(std::string_view target);
 
 }  // namespace anisehold::routing
--- a/src/routing/rendezvous.hpp
+++ b/src/routing/rendezvous.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Rendezvous (highest random weight) hashing: all daemons choose the same candidate for a key without a
-/// message, and a candidate that goes moves only its own keys. Pure. All daemons of a fleet must score alike.
+/// Rendezvous (highest random weight) hashing: all daemons choose the same candidate for a key without
+/// exchanging messages, and removing a candidate moves only its own keys. Pure. All daemons of a fleet must
+/// compute the same scores.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +11,10 @@
 
 namespace anisehold::routing {
 
-/// Score of `candidate` for `key`; the highest wins.
+/// Returns the score of `candidate` for `key`; the highest wins.
 std::uint64_t rendezvous_score(std::string_view candidate, std::string_view key);
 
-/// Indexes of `candidates` in descending order of score for `key`.
+/// Returns the indexes of `candidates` in descending order of score for `key`.
 std::vector<std::size_t> rendezvous_order(const std::vector<std::string>& candidates, std::string_view key);
 
 }  // namespace anisehold::routing
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -3,7 +3,7 @@
 namespace anisehold::routing {
 namespace {
 
-/// Whether `prefix` is a leading part of `path` that ends at a segment's end.
+/// Whether `prefix` is a leading part of `path` that ends at a segment boundary.
 bool is_path_prefix(std::string_view prefix, std::string_view path) {
     if (!path.starts_with(prefix)) {
         return false;
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -15,13 +15,13 @@
     config::TableRow service_row;  ///< The row of the called service.
 };
 
-/// An immutable table at a revision, ready for look-ups.
+/// An immutable table at a revision, prepared for lookups.
 class RouteTable {
   public:
     RouteTable(config::TableRecord record, std::uint64_t revision);
 
-    /// The rows for a call, or nothing if the service has no row. A request row with the longest fitting
-    /// path goes first; at equal length an exact method goes before "*".
+    /// Returns the rows for a call, or nothing if the service has no row. Among request rows, the longest
+    /// matching path takes precedence; at equal length, an exact method takes precedence over "*".
     std::optional<RouteDecision> find(std::string_view service, std::string_view method,
                                       std::string_view target) const;
     std::uint64_t revision() const { return revision_; }
--- a/src/routing/weighted_split.cpp
+++ b/src/routing/weighted_split.cpp
@@ -24,7 +24,8 @@
     if (cycle.parts != route.parts) {
         cycle.parts = route.parts;
         cycle.credits.assign(route.parts.size(), 0.0);
-        // Credits of a cycle sum up to zero; moving some between the first parts shifts its start.
+        // The credits of a cycle sum up to zero; moving credit between the first and the last part shifts the
+        // start of the cycle.
         cycle.credits.front() += total * (first_draw - 0.5);
         cycle.credits.back() -= total * (first_draw - 0.5);
     }
--- a/src/routing/weighted_split.hpp
+++ b/src/routing/weighted_split.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Division of a route's requests among services by weight, in the sidecar. Owns the position in each route's
+/// Distributes a route's requests among services by weight, in the sidecar. Owns the position in each route's
 /// cycle; relies on the configuration for the weights.
 #pragma once
 
@@ -11,17 +11,17 @@
 
 namespace anisehold::routing {
 
-/// Smooth weighted round robin, one state a route: every part gets its share exactly over a cycle, and parts
-/// alternate as evenly as their weights allow. Pure.
+/// Smooth weighted round robin with one state per route: each part gets its exact share over a cycle, and
+/// parts alternate as evenly as their weights allow. Pure.
 class WeightedSplit {
   public:
-    /// The service that the next request of `route` goes to; empty when no part has a weight.
-    /// `first_draw` in [0, 1) places the start of a new cycle, so that daemons don't go in step.
+    /// Returns the service for the next request of `route`; empty if no part has a weight. `first_draw` in
+    /// [0, 1) sets the start of a new cycle, so that daemons are not synchronized.
     std::string next(const HostRoute& route, double first_draw);
 
   private:
     struct Cycle {
-        std::vector<WeightedService> parts;  ///< As of the configuration that the credits belong to.
+        std::vector<WeightedService> parts;  ///< Parts of the configuration that the credits belong to.
         std::vector<double> credits;
     };
 
--- a/tests/unit/routing/configuration_test.cpp
+++ b/tests/unit/routing/configuration_test.cpp
@@ -28,7 +28,7 @@
     CHECK(configuration.find("b.example", "/x/y/z/1")->name == "other");
 }
 
-TEST_CASE("a prefix ends at a slash") {
+TEST_CASE("a prefix ends with a slash") {
     Configuration configuration;
     configuration.routes = {route("one", "a.example", "/x/")};
     configuration.index_routes();
@@ -37,7 +37,7 @@
     CHECK(configuration.find("c.example", "/x/") == nullptr);
 }
 
-TEST_CASE("a route is found in the same time among many") {
+TEST_CASE("the lookup time does not grow with the number of routes") {
     Configuration configuration;
     for (int index = 0; index < 1'400; ++index) {
         const auto name = std::to_string(index);
@@ -53,12 +53,12 @@
     CHECK(configuration.find("host1.example", "/a2/b/") == nullptr);
 }
 
-TEST_CASE("the query is no part of the path") {
+TEST_CASE("the query is not part of the path") {
     CHECK(path_of("/a/b?c=/d/") == "/a/b");
     CHECK(path_of("/a") == "/a");
 }
 
-TEST_CASE("only one rule forbids repeats") {
+TEST_CASE("only the at-most-once rule forbids retries") {
     CHECK(may_retry(RetryRule::kRetryable));
     CHECK(may_retry(RetryRule::kLargeAnswer));
     CHECK_FALSE(may_retry(RetryRule::kAtMostOnce));
--- a/tests/unit/routing/routing_test.cpp
+++ b/tests/unit/routing/routing_test.cpp
@@ -51,7 +51,7 @@
     CHECK_FALSE(table.find("unknown", "GET", "/"));
 }
 
-TEST_CASE("rendezvous hashing moves only the keys of a member that goes") {
+TEST_CASE("rendezvous hashing moves only the keys of a removed member") {
     std::vector<std::string> members{"a", "b", "c", "d"};
     std::map<std::string, unsigned> share;
     unsigned moved = 0;
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("a server that says it is leaving gets no new work, whatever else is claimed") {
+TEST_CASE("a server that reports leaving gets no new work, despite later list updates") {
     BackendRegistry registry;
     registry.update_list(at_ms(0), three_servers());
     CHECK(registry.candidates(at_ms(0), "s", {}).size() == 3);
@@ -79,7 +79,7 @@
     CHECK(registry.candidates(at_ms(30'000), "s", {}).size() == 2);
 }
 
-TEST_CASE("if all servers say they are leaving, the list is believed") {
+TEST_CASE("if all servers report leaving, the list takes precedence") {
     BackendRegistry registry;
     registry.update_list(at_ms(0), three_servers());
     for (std::uint16_t port = 1; port <= 3; ++port) {
@@ -88,7 +88,7 @@
     CHECK(registry.candidates(at_ms(1), "s", {}).size() == 3);
 }
 
-TEST_CASE("a failing server is ejected, but never more than half of them") {
+TEST_CASE("a failing server is ejected, but at most half of the servers") {
     BackendRegistry registry;
     registry.update_list(at_ms(0), three_servers());
     for (int failure = 0; failure < 5; ++failure) {
@@ -105,7 +105,7 @@
     CHECK(registry.candidates(at_ms(2'001), "s", {}).size() == 3);
 }
 
-TEST_CASE("a server that joins later starts slowly") {
+TEST_CASE("a server that joins later gets its load gradually") {
     BackendRegistry registry;
     auto list = three_servers();
     list.pop_back();
@@ -117,7 +117,7 @@
     CHECK(registry.candidates(at_ms(16'000), "s", {server(1), server(2)}).front().load == 0);
 }
 
-TEST_CASE("the own zone goes first until it is full") {
+TEST_CASE("the local zone is preferred until it is full") {
     std::mt19937_64 random(1);
     const std::vector<Candidate> roomy{{server(1), "a", 0.9}, {server(2), "b", 0.0}};
     CHECK(choose_server(roomy, "a", random)->endpoint == server(1));
--- a/tests/unit/routing/weighted_split_test.cpp
+++ b/tests/unit/routing/weighted_split_test.cpp
@@ -32,7 +32,7 @@
     CHECK(drawn.at("b") == 10);
 }
 
-TEST_CASE("many daemons with few requests each keep the shares together") {
+TEST_CASE("many daemons with few requests each keep the overall shares") {
     std::mt19937 random(7);
     std::uniform_real_distribution<double> unit(0.0, 1.0);
     const auto route = split_route({{"a", 75}, {"b", 25}});
@@ -47,14 +47,14 @@
     CHECK(share == Approx(0.25).margin(0.06));
 }
 
-TEST_CASE("changed weights are in force at once") {
+TEST_CASE("changed weights apply at once") {
     WeightedSplit split;
     draw(split, split_route({{"a", 1}, {"b", 1}}), 10, 0.5);
     const auto drawn = draw(split, split_route({{"a", 1}, {"b", 0}}), 10, 0.5);
     CHECK(drawn.count("b") == 0);
 }
 
-TEST_CASE("a route whose parts weigh nothing has no service") {
+TEST_CASE("a route whose parts have no weight has no service") {
     WeightedSplit split;
     CHECK(split.next(split_route({{"a", 0}}), 0.5).empty());
     CHECK(split.next(split_route({}), 0.5).empty());
