--- a/src/registration/refusal_limit.hpp
+++ b/src/registration/refusal_limit.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// How often refused heartbeats are logged: once in a while for each writer, so that a writer that goes on
-/// sending them doesn't fill the log. Owns when each was last logged; the sidecar logs.
+/// Limits how often refused heartbeats are logged, per writer, so that a writer that keeps sending them does
+/// not fill the log. Owns the time of each writer's latest log entry; the sidecar writes the log.
 #pragma once
 
 #include <map>
@@ -10,18 +10,18 @@
 
 namespace anisehold::registration {
 
-/// A writer that sends nothing but refused heartbeats is logged once in this time. Chosen, not measured.
+/// A writer that sends only refused heartbeats is logged once per interval.
 inline constexpr seconds kRefusalLogInterval{60};
-/// Most writers that are logged in that time; further ones aren't, so that names made up at random cost
-/// neither memory nor log lines. Chosen, not measured.
+/// Maximum number of writers that are logged per interval, so that random writer names cost neither memory
+/// nor log lines.
 inline constexpr std::size_t kMaxLoggedWriters = 64;
 
-/// When each writer was last logged. Pure.
+/// The time at which each writer was last logged. Pure.
 struct RefusalLimit {
     std::map<std::string, TimePoint> logged;
 };
 
-/// Whether a refused heartbeat of `writer` is to be logged now; if so, it counts as logged.
+/// Whether a refused heartbeat of `writer` should be logged now; if so, it is recorded as logged.
 inline bool should_log_refusal(RefusalLimit& limit, TimePoint now, const std::string& writer) {
     std::erase_if(limit.logged, [&](const auto& entry) { return now - entry.second >= kRefusalLogInterval; });
     return limit.logged.size() < kMaxLoggedWriters && limit.logged.emplace(writer, now).second;
--- a/src/registration/server_registry.cpp
+++ b/src/registration/server_registry.cpp
@@ -5,13 +5,12 @@
 namespace anisehold::registration {
 namespace {
 
-/// How long an instance that left is remembered, so that a late heartbeat doesn't bring it back. Chosen, not
-/// measured.
-constexpr seconds kLeftRemembered{600};
-/// A server that was displaced from its address and goes on to say that it is there, so many times, is: the
-/// entry that displaced it was another writer's. One or two may have been on their way when it ended. Chosen,
-/// not measured.
-constexpr unsigned kHeartbeatsOfLiving = 3;
+/// How long an instance that left is remembered, so that a late heartbeat does not bring it back.
+constexpr seconds kLeftServerRetention{600};
+/// Number of heartbeats after which a server that was displaced from its address counts as still running: the
+/// entry that displaced it came from another writer. One or two heartbeats may have been in flight when the
+/// server ended.
+constexpr unsigned kHeartbeatsToReinstate = 3;
 
 }  // namespace
 
@@ -24,16 +23,16 @@
     if (left.start_time < heartbeat.start_time) {
         return true;
     }
-    const bool goes_on =
+    const bool continues =
         left.was_displaced && left.start_time == heartbeat.start_time && left.sequence < heartbeat.sequence;
-    left.heartbeats_since += goes_on ? 1 : 0;
+    left.heartbeats_since += continues ? 1 : 0;
     left.sequence = std::max(left.sequence, heartbeat.sequence);
-    return goes_on && left.heartbeats_since >= kHeartbeatsOfLiving;
+    return continues && left.heartbeats_since >= kHeartbeatsToReinstate;
 }
 
 RegistryChange ServerRegistry::register_start(TimePoint now, const Heartbeat& heartbeat) {
     left_.erase(heartbeat.instance);
-    // A server with another's address has replaced it.
+    // A server that registers with another server's address has replaced that server.
     for (auto each = servers_.begin(); each != servers_.end();) {
         if (each->second.heartbeat.address == heartbeat.address && each->first != heartbeat.instance) {
             const auto& displaced = each->second.heartbeat;
@@ -62,7 +61,7 @@
                                                         : RegistryChange::kNone;
     }
     const bool is_late = heartbeat.sequence <= before.sequence;
-    // A start serves one service: an entry that says otherwise is another writer's.
+    // A start serves one service: a heartbeat with another service comes from another writer.
     const bool is_foreign = gives_start && before.service != heartbeat.service;
     if (!found->second.is_probed && (is_late || is_foreign)) {
         return RegistryChange::kNone;
@@ -78,10 +77,10 @@
 }
 
 RegistryChange ServerRegistry::on_probed(TimePoint now, const Heartbeat& found) {
-    const bool address_taken = std::any_of(servers_.begin(), servers_.end(), [&](const auto& entry) {
+    const bool address_in_use = std::any_of(servers_.begin(), servers_.end(), [&](const auto& entry) {
         return entry.second.heartbeat.address == found.address;
     });
-    if (address_taken || left_.contains(found.instance) || servers_.contains(found.instance)) {
+    if (address_in_use || left_.contains(found.instance) || servers_.contains(found.instance)) {
         return RegistryChange::kNone;
     }
     servers_[found.instance] = {found, now, now, true};
@@ -108,7 +107,7 @@
 }
 
 std::vector<std::string> ServerRegistry::expire(TimePoint now, Duration silence, Duration probed_silence) {
-    std::erase_if(left_, [&](const auto& entry) { return now - entry.second.at > kLeftRemembered; });
+    std::erase_if(left_, [&](const auto& entry) { return now - entry.second.at > kLeftServerRetention; });
     std::vector<std::string> silent;
     std::erase_if(servers_, [&](const auto& entry) {
         const auto& server = entry.second;
@@ -119,7 +118,7 @@
             return false;
         }
         silent.push_back(entry.first);
-        // Its later heartbeats may say that it is ready.
+        // Later heartbeats of this server may report it as ready.
         if (is_draining) {
             left_[entry.first] = {now, server.heartbeat.start_time, false, server.heartbeat.sequence, 0};
         }
--- a/src/registration/server_registry.hpp
+++ b/src/registration/server_registry.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// The servers that register at this sidecar by heartbeat. Owns the newest state of each, and what is
-/// remembered of those that left; relies on the sidecar for time and for the messages, which platform/
-/// decodes.
+/// The servers that register at this sidecar by heartbeat. Owns the latest state of each server, and records
+/// of servers that left; relies on the sidecar for time and messages, which platform/ decodes.
 #pragma once
 
 #include <cstdint>
@@ -15,64 +14,63 @@
 
 namespace anisehold::registration {
 
-/// Which start of a server under one instance name it is: the later one has the greater number. The Unix time
-/// of the start, in milliseconds; 0 if the server doesn't send it.
+/// Identifies one start of a server under an instance name: a later start has a greater number. The Unix time
+/// of the start in milliseconds; 0 if the server does not send it.
 using ServerStart = Strong<struct ServerStartTag, std::uint64_t>;
 
-/// What a server sends of itself in each heartbeat.
+/// The contents of a server's heartbeat.
 struct Heartbeat {
-    std::string instance;  ///< A server that ended may come back under the same one.
+    std::string instance;  ///< A restarted server may use the same instance name.
     ServerStart start_time;
     std::string service;
     Endpoint address;
     std::string zone;
-    unsigned slots = 1;              ///< Requests that it works on at the same time.
-    bool draining = false;           ///< It ends soon and takes no new requests.
-    std::uint64_t sequence = 0;      ///< Rises with each heartbeat, so that a late one is known.
-    milliseconds cold_remaining{0};  ///< How much longer it is slow from its start.
+    unsigned slots = 1;              ///< Number of requests that the server processes concurrently.
+    bool draining = false;           ///< The server ends soon and takes no new requests.
+    std::uint64_t sequence = 0;      ///< Increases with each heartbeat, so that a late one is detected.
+    milliseconds cold_remaining{0};  ///< Remaining time of the server's slow start-up phase.
 };
 
-/// What a heartbeat or a leave changed.
+/// The change caused by a heartbeat or a leave.
 enum class RegistryChange {
-    kNone,       ///< Late, or of a server that has left.
-    kRefreshed,  ///< Nothing that others need to know at once.
-    kAppeared,   ///< A new server takes requests, or a new start of a known one.
-    kChanged,    ///< Slots or service differ.
-    kDraining,   ///< It takes no new requests from now on.
+    kNone,       ///< Late, or from a server that has left.
+    kRefreshed,  ///< No change that other daemons need to know at once.
+    kAppeared,   ///< A new server, or a new start of a known one, takes requests.
+    kChanged,    ///< Slots, service or address differ.
+    kDraining,   ///< The server takes no new requests from now on.
     kLeft,
 };
 
-/// A registered server.
 struct RegisteredServer {
     Heartbeat heartbeat;
     TimePoint last_seen;
     TimePoint cold_until;
-    bool is_probed = false;  ///< It was asked for its health; its own heartbeat is awaited.
+    bool is_probed = false;  ///< Found by a health probe; its first heartbeat has not arrived yet.
 };
 
-/// Keeps the newest state of each server. Draining and leaving are final for one start of it; a later start
-/// replaces all that was known, an earlier one is late. Pure.
+/// Keeps the latest state of each server. Draining and leaving are final for one start of a server; a later
+/// start replaces all earlier state, and messages of an earlier start are ignored as late. Pure.
 class ServerRegistry {
   public:
     RegistryChange on_heartbeat(TimePoint now, const Heartbeat& heartbeat);
-    /// A server that said it was well when it was asked. Changes nothing if anything is known of the
-    /// instance, or of its address.
+    /// Adds a server that reported itself healthy when probed. Changes nothing if the instance or its address
+    /// is already known.
     RegistryChange on_probed(TimePoint now, const Heartbeat& found);
-    /// The server says in its answers that it ends soon, whatever its heartbeats say. Final, as draining is.
+    /// The server's responses state that it ends soon, whatever its heartbeats say. Final, like draining.
     RegistryChange on_leaving_answer(const std::string& instance);
-    /// `start_time`: of the start that leaves; 0 means the one that is known.
+    /// `start_time`: the start that leaves; 0 means the known one.
     RegistryChange on_leave(TimePoint now, const std::string& instance, ServerStart start_time = {});
-    /// The server has crashed: nothing is known of it until it registers again. False if nothing was.
+    /// The server has crashed: removes it until it registers again. Returns false if it was not registered.
     bool on_crash(const std::string& instance) { return servers_.erase(instance) > 0; }
-    /// Forgets servers that fell silent for `silence`, found ones without a heartbeat after `probed_silence`,
-    /// and what was remembered of those that left long ago. Returns the instances that fell silent.
+    /// Removes servers without a heartbeat for `silence`, probed servers without a first heartbeat after
+    /// `probed_silence`, and old records of servers that left. Returns the instances removed as silent.
     std::vector<std::string> expire(TimePoint now, Duration silence, Duration probed_silence);
 
-    /// The server, if it takes new requests.
+    /// Returns the server if it takes new requests.
     const RegisteredServer* find_ready(const std::string& instance) const;
     /// Whether a server of `service` takes new requests.
     bool serves(const std::string& service) const;
-    /// All servers that take new requests.
+    /// Returns all servers that take new requests.
     std::vector<RegisteredServer> ready_servers() const;
 
   private:
@@ -80,14 +78,14 @@
     struct LeftServer {
         TimePoint at;
         ServerStart start_time;
-        /// Set if it never said so itself, but another one came to its address.
+        /// Set if the server did not report leaving itself, but another server registered with its address.
         bool was_displaced = false;
-        std::uint64_t sequence = 0;     ///< Of its latest heartbeat, if it was displaced.
-        unsigned heartbeats_since = 0;  ///< Heartbeats since then.
+        std::uint64_t sequence = 0;     ///< Sequence of its latest heartbeat, if it was displaced.
+        unsigned heartbeats_since = 0;  ///< Number of heartbeats since it was displaced.
     };
 
-    /// Whether the heartbeat is of a start after the one that left, or of one that is there after all. Counts
-    /// it.
+    /// Whether the heartbeat belongs to a later start than the one that left, or to a displaced server that
+    /// is still running. Counts the heartbeat.
     bool is_back(const Heartbeat& heartbeat);
     RegistryChange register_start(TimePoint now, const Heartbeat& heartbeat);
 
--- a/tests/unit/registration/server_registry_test.cpp
+++ b/tests/unit/registration/server_registry_test.cpp
@@ -46,7 +46,7 @@
     CHECK(registry.ready_servers().empty());
 }
 
-TEST_CASE("a server that left isn't brought back by a late heartbeat") {
+TEST_CASE("a late heartbeat does not bring back a server that left") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, heartbeat("a", 1));
     CHECK(registry.on_leave(kStart, "a") == RegistryChange::kLeft);
@@ -54,13 +54,13 @@
     CHECK(registry.find_ready("a") == nullptr);
 }
 
-TEST_CASE("leaving without notice before any heartbeat is remembered") {
+TEST_CASE("a leave that arrives before any heartbeat is remembered") {
     ServerRegistry registry;
     CHECK(registry.on_leave(kStart, "a") == RegistryChange::kNone);
     CHECK(registry.on_heartbeat(kStart, heartbeat("a", 1)) == RegistryChange::kNone);
 }
 
-TEST_CASE("a new server at the same address replaces the old one for good") {
+TEST_CASE("a new server at the same address replaces the old one permanently") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, heartbeat("old", 9));
     CHECK(registry.on_heartbeat(kStart, heartbeat("new", 1)) == RegistryChange::kAppeared);
@@ -69,7 +69,7 @@
     CHECK(registry.find_ready("new") != nullptr);
 }
 
-TEST_CASE("a silent server is dropped, and comes back with its next heartbeat") {
+TEST_CASE("a silent server is removed, and is added again with its next heartbeat") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, heartbeat("a", 1));
     CHECK(registry.expire(kStart + seconds(5), seconds(9), seconds(3)).empty());
@@ -78,7 +78,7 @@
     CHECK(registry.on_heartbeat(kStart + seconds(11), heartbeat("a", 2)) == RegistryChange::kAppeared);
 }
 
-TEST_CASE("changed slots are told") {
+TEST_CASE("a change of slots is reported") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, heartbeat("a", 1));
     auto more = heartbeat("a", 2);
@@ -87,7 +87,7 @@
     CHECK(registry.find_ready("a")->heartbeat.slots == 8);
 }
 
-TEST_CASE("a server that was asked for its health takes requests until its heartbeat is overdue") {
+TEST_CASE("a probed server takes requests until its first heartbeat is overdue") {
     ServerRegistry registry;
     CHECK(registry.on_probed(kStart, heartbeat("a", 0)) == RegistryChange::kAppeared);
     REQUIRE(registry.find_ready("a") != nullptr);
@@ -95,7 +95,8 @@
     CHECK(registry.expire(kStart + seconds(4), seconds(9), seconds(3)) == std::vector<std::string>{"a"});
 }
 
-TEST_CASE("a found server's first heartbeat is taken, whatever its number, and bounds its silence") {
+TEST_CASE(
+    "a probed server's first heartbeat is accepted with any sequence, and starts the normal silence limit") {
     ServerRegistry registry;
     registry.on_probed(kStart, heartbeat("a", 0));
     auto beat = heartbeat("a", 0);
@@ -105,7 +106,7 @@
     CHECK(registry.expire(kStart + seconds(8), seconds(9), seconds(3)).empty());
 }
 
-TEST_CASE("what a server said itself goes before what it was found to be") {
+TEST_CASE("a server's own messages take precedence over a health probe") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, heartbeat("a", 1, true));
     CHECK(registry.on_probed(kStart, heartbeat("a", 0)) == RegistryChange::kNone);
@@ -119,7 +120,7 @@
     CHECK(registry.find_ready("d") == nullptr);
 }
 
-TEST_CASE("a service is served while a server of it takes requests") {
+TEST_CASE("a service is served while one of its servers takes requests") {
     ServerRegistry registry;
     CHECK_FALSE(registry.serves("orders"));
     registry.on_heartbeat(kStart, heartbeat("a", 1));
@@ -139,7 +140,7 @@
 
 }  // namespace
 
-TEST_CASE("a server that left is back with its next start, whose counts start anew") {
+TEST_CASE("a server that left registers again with its next start, with a new sequence") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, started(1'000, 40));
     CHECK(registry.on_leave(kStart, "a") == RegistryChange::kLeft);
@@ -148,7 +149,7 @@
     CHECK(registry.find_ready("a") != nullptr);
 }
 
-TEST_CASE("a server that was draining is back with its next start") {
+TEST_CASE("a server that was draining registers again with its next start") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, started(1'000, 40));
     CHECK(registry.on_heartbeat(kStart, started(1'000, 41, true)) == RegistryChange::kDraining);
@@ -156,7 +157,7 @@
     CHECK(registry.find_ready("a") != nullptr);
 }
 
-TEST_CASE("a server that crashed and is back with sequence 1 isn't taken for late") {
+TEST_CASE("a restarted server's heartbeat with sequence 1 is not taken for a late one") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, started(1'000, 40));
     CHECK(registry.on_heartbeat(kStart, started(2'000, 1)) == RegistryChange::kAppeared);
@@ -177,7 +178,7 @@
     CHECK(registry.on_leave(kStart, "a", ServerStart(2'000)) == RegistryChange::kLeft);
 }
 
-TEST_CASE("an entry that gives a known start another service is another writer's") {
+TEST_CASE("a heartbeat that gives a known start another service is ignored") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, started(1'000, 1));
     auto foreign = started(1'000, 2);
@@ -195,7 +196,7 @@
     CHECK(registry.on_heartbeat(kStart, started(2'000, 1)) == RegistryChange::kAppeared);
 }
 
-TEST_CASE("a server that another writer's entry displaced is back when it goes on to say that it is there") {
+TEST_CASE("a server displaced by another writer's entry is reinstated after further heartbeats") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, heartbeat("living", 9));
     CHECK(registry.on_heartbeat(kStart, heartbeat("made-up", 1)) == RegistryChange::kAppeared);
@@ -207,7 +208,7 @@
     CHECK(registry.find_ready("made-up") == nullptr);
 }
 
-TEST_CASE("a server that said that it leaves stays gone, whatever comes of that start") {
+TEST_CASE("a server that reported leaving stays removed for that start") {
     ServerRegistry registry;
     registry.on_heartbeat(kStart, heartbeat("a", 1));
     registry.on_leave(kStart, "a");
@@ -216,7 +217,7 @@
     }
 }
 
-TEST_CASE("leaving by an answer is final, whatever the heartbeats say and however late they come") {
+TEST_CASE("leaving reported in a response is final, despite later heartbeats") {
     ServerRegistry registry;
     CHECK(registry.on_leaving_answer("a") == RegistryChange::kNone);
     registry.on_heartbeat(kStart, heartbeat("a", 1));
@@ -229,7 +230,7 @@
     CHECK(registry.find_ready("a") == nullptr);
 }
 
-TEST_CASE("a later start of a server that left by an answer serves") {
+TEST_CASE("a later start of a server that left by a response takes requests") {
     ServerRegistry registry;
     auto first = heartbeat("a", 1);
     first.start_time = ServerStart(100);
