--- a/soak/fault_injector.cpp
+++ b/soak/fault_injector.cpp
@@ -15,13 +15,13 @@
 using testing::Fleet;
 
 constexpr milliseconds linkDelay{ 120 };
-constexpr double lostShare = 0.5;
-/** Links that reset do so again after this time. */
+constexpr double datagramLossShare = 0.5;
+/** Interval between the resets of a link. */
 constexpr milliseconds resetPeriod{ 100 };
-/** Time between two signals, or two configurations, of a series. */
+/** Interval between two signals, or two configurations, of a series. */
 constexpr milliseconds seriesPeriod{ 300 };
 
-/** A rate limit as the server writes it, and what it means. */
+/** A rate limit as sent by the server, and its value. */
 struct ServerLimit
 {
     const char* text;
@@ -32,12 +32,12 @@
     { { "3", 3 }, { "0.5", 0.5 }, { "11.5", 11.5 }, { "0", 0 } }
 };
 
-bool strikesLinks (FaultKind kind)
+bool affectsLinks (FaultKind kind)
 {
     return kind >= FaultKind::linksDelayed && kind <= FaultKind::storeLinkReset;
 }
 
-bool strikesServer (FaultKind kind)
+bool affectsServer (FaultKind kind)
 {
     return (kind >= FaultKind::serverDeclines && kind <= FaultKind::serverReplaced) ||
            kind == FaultKind::serverLimited || kind == FaultKind::serverLeaving;
@@ -82,22 +82,22 @@
         net::EventLoop::spawn ([this, fault] { injectFault (fault); });
 }
 
-/** Brings one fault about and takes it back. */
+/** Injects one fault and removes it after its duration. */
 void FaultInjector::injectFault (const Fault& fault)
 {
     boost::this_fiber::sleep_until (loadStarted + fault.at);
     const auto machine = fault.machine.value;
-    const auto ends = loadStarted + fault.at + fault.lasts;
-    disturbedUntil[machine] = std::max (disturbedUntil[machine], ends + options.recoveryTime);
+    const auto ends = loadStarted + fault.at + fault.duration;
+    disturbedUntil[machine] = std::max (disturbedUntil[machine], ends + options.settleTime);
 
-    if (affectsProcess (fault.kind) || strikesLinks (fault.kind))
+    if (affectsProcess (fault.kind) || affectsLinks (fault.kind))
         checker.onMachineDisturbed (machine, ends, affectsProcess (fault.kind));
 
     if (affectsProcess (fault.kind))
         injectProcessFault (fault.kind, machine, ends);
-    else if (strikesLinks (fault.kind))
+    else if (affectsLinks (fault.kind))
         injectLinkFault (fault.kind, machine, ends);
-    else if (strikesServer (fault.kind))
+    else if (affectsServer (fault.kind))
         injectServerFault (fault.kind, machine, ends);
     else
         injectStoreFault (fault.kind, ends);
@@ -160,14 +160,14 @@
 void FaultInjector::injectLinkFault (FaultKind kind, std::size_t machine, TimePoint ends)
 {
     auto& set = links[machine];
-    LinkBehaviour spoiled;
-    spoiled.delay = kind == FaultKind::linksDelayed ? linkDelay : milliseconds (0);
-    spoiled.resets = kind == FaultKind::linksReset || kind == FaultKind::storeLinkReset;
-    spoiled.toTargetSilent = kind == FaultKind::linksSilent || kind == FaultKind::inboundSilent ||
-                             kind == FaultKind::storeLinkSilent;
-    spoiled.toCallerSilent = kind == FaultKind::linksSilent || kind == FaultKind::answersSilent ||
-                             kind == FaultKind::storeLinkSilent;
-    spoiled.datagramsLost = kind == FaultKind::datagramsLost ? lostShare : 0;
+    LinkBehaviour faulty;
+    faulty.delay = kind == FaultKind::linksDelayed ? linkDelay : milliseconds (0);
+    faulty.resets = kind == FaultKind::linksReset || kind == FaultKind::storeLinkReset;
+    faulty.toTargetSilent = kind == FaultKind::linksSilent || kind == FaultKind::inboundSilent ||
+                            kind == FaultKind::storeLinkSilent;
+    faulty.toCallerSilent = kind == FaultKind::linksSilent || kind == FaultKind::answersSilent ||
+                            kind == FaultKind::storeLinkSilent;
+    faulty.datagramsLost = kind == FaultKind::datagramsLost ? datagramLossShare : 0;
     const bool onlyStore = kind == FaultKind::storeLinkSilent || kind == FaultKind::storeLinkReset;
     const bool onlyPeers = kind == FaultKind::inboundSilent || kind == FaultKind::answersSilent;
 
@@ -187,9 +187,9 @@
 
     do
     {
-        apply (spoiled);
+        apply (faulty);
         boost::this_fiber::sleep_until (
-            spoiled.resets ? std::min<TimePoint> (ends, TimePoint::clock::now() + resetPeriod) : ends);
+            faulty.resets ? std::min<TimePoint> (ends, TimePoint::clock::now() + resetPeriod) : ends);
     } while (TimePoint::clock::now() < ends);
 
     apply ({});
@@ -211,7 +211,7 @@
 
     if (kind == FaultKind::serverLeaving)
     {
-        leaveByAnswers (machine, ends);
+        leaveByResponses (machine, ends);
         return;
     }
 
@@ -249,7 +249,7 @@
     server.faults.rate_limit.clear();
 }
 
-void FaultInjector::leaveByAnswers (std::size_t machine, TimePoint ends)
+void FaultInjector::leaveByResponses (std::size_t machine, TimePoint ends)
 {
     auto& server = *fleet.machine (machine).server;
     server.faults.says_leaving = true;
@@ -283,10 +283,10 @@
     auto& flag = kind == FaultKind::storeLosesAnswers ? store.faults.loses_answers
                  : kind == FaultKind::storeSilent     ? store.faults.is_silent
                                                       : store.faults.refuses;
-    const bool lasts = kind == FaultKind::storeRefuses || kind == FaultKind::storeLosesAnswers ||
-                       kind == FaultKind::storeSilent;
+    const bool isContinuous = kind == FaultKind::storeRefuses || kind == FaultKind::storeLosesAnswers ||
+                              kind == FaultKind::storeSilent;
 
-    if (! lasts)
+    if (! isContinuous)
         return;
 
     flag = true;
--- a/soak/fault_injector.hpp
+++ b/soak/fault_injector.hpp
@@ -1,4 +1,4 @@
-/** Brings the faults of a plan about, from outside the processes, and takes them back. */
+/** Injects the faults of a plan from outside the processes, and removes them again. */
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
 namespace anisehold::soak
 {
 
-/** What the injector needs to know of its round. */
+/** The injector's parameters, provided by the round. */
 struct InjectorOptions
 {
-    Duration drainTimeout{}; /**< A replaced server serves on for twice that. */
-    Duration recoveryTime{}; /**< A machine counts as struck for this long after its fault. */
+    Duration drainTimeout{}; /**< A replaced server continues to serve for twice this time. */
+    Duration settleTime{};   /**< A machine counts as disturbed for this time after its fault. */
     std::function<std::string (unsigned version)> configuration;
 };
 
@@ -34,22 +34,22 @@
 };
 
 /** Owns the links of a fleet's machines. Reports acknowledged leaves, and stops that never end, to the
- * checker. */
+    checker. */
 class FaultInjector
 {
 public:
     FaultInjector (testing::SidecarFleet&, PromiseChecker&, const InjectorOptions&);
 
-    /** Starts the links; before the fleet. */
+    /** Starts the links; call before the fleet starts. */
     bool startLinks();
 
-    /** Starts the plan on fibers of its own. */
+    /** Starts each fault of the plan on its own fiber. */
     void start (const std::vector<Fault>& plan);
 
-    /** The operator puts the next version. */
+    /** Publishes the next version of the configuration. */
     void changeConfiguration();
 
-    /** Whether a fault of the machine lasts, or has ended just now. */
+    /** Whether a fault of the machine is active or ended shortly before. */
     bool isDisturbed (std::size_t machine) const;
 
 private:
@@ -60,7 +60,7 @@
     void signalInSeries (std::size_t machine, TimePoint ends);
     void replaceServer (std::size_t machine, TimePoint ends);
     void limitServer (std::size_t machine, TimePoint ends);
-    void leaveByAnswers (std::size_t machine, TimePoint ends);
+    void leaveByResponses (std::size_t machine, TimePoint ends);
     void injectStoreFault (FaultKind, TimePoint ends);
 
     testing::SidecarFleet& fleet;
@@ -69,7 +69,7 @@
     std::vector<MachineLinkSet> links;
     std::map<std::size_t, TimePoint> disturbedUntil;
     TimePoint loadStarted;
-    unsigned version = 1; /**< Of the configuration that was put last. */
+    unsigned version = 1; /**< Latest version of the configuration. */
     std::size_t replacements = 0;
 };
 
--- a/soak/link.cpp
+++ b/soak/link.cpp
@@ -23,10 +23,10 @@
 using Tcp = boost::asio::ip::tcp;
 
 constexpr std::size_t chunkBytes = 16 * 1024;
-/** How often a silent direction looks whether it may speak again. */
+/** Interval at which a silent direction checks whether it may forward again. */
 constexpr milliseconds silentPoll{ 10 };
 
-/** Closes with a reset in place of an orderly end. */
+/** Closes the socket with a TCP reset. */
 void resetSocket (Tcp::socket& socket)
 {
     boost::system::error_code ignored;
@@ -59,8 +59,8 @@
     Tcp::socket target;
 };
 
-/** Whether the sender of what was read last has reset its connection since: a broken link loses what it held
-   back then. */
+/** Whether the sender of the data read last has reset its connection since then: a broken link loses the data
+    that it held back. */
 bool wasReset (Tcp::socket& socket)
 {
     char byte = 0;
@@ -138,7 +138,7 @@
         connections.remove (connection);
     }
 
-    /** Passes bytes on until one side ends. */
+    /** Forwards bytes until one side ends. */
     void pump (Connection& connection, Direction direction)
     {
         auto& from = direction == Direction::toTarget ? connection.caller : connection.target;
--- a/soak/link.hpp
+++ b/soak/link.hpp
@@ -1,7 +1,7 @@
-/** Forwarders on loopback that stand in a machine's links and spoil them.
+/** Forwarders on loopback that replace a machine's links and inject faults into them.
 
-    A link passes connections (or datagrams) on from one address to another. What it does to them is set from
-    outside, by value, and taken back the same way.
+    A link forwards connections (or datagrams) from one address to another. Its behaviour is set from outside,
+    by value, and reset in the same way.
 */
 #pragma once
 
@@ -19,17 +19,17 @@
 namespace anisehold::soak
 {
 
-/** How a link treats what goes through it. */
+/** How a link treats the traffic that it forwards. */
 struct LinkBehaviour
 {
-    milliseconds delay{ 0 };     /**< Each chunk is passed on this much later. */
-    bool toTargetSilent = false; /**< Nothing passes towards the target; nothing is closed. */
-    bool toCallerSilent = false; /**< Nothing passes back. */
-    bool resets = false;         /**< Open connections are reset, and new ones at once. */
-    double datagramsLost = 0;    /**< Share of the datagrams that is dropped. */
+    milliseconds delay{ 0 };     /**< Each chunk is forwarded after this delay. */
+    bool toTargetSilent = false; /**< Nothing is forwarded to the target; no connection is closed. */
+    bool toCallerSilent = false; /**< Nothing is forwarded to the caller. */
+    bool resets = false; /**< Open connections are reset, and new ones immediately after they are accepted. */
+    double datagramsLost = 0; /**< Share of the datagrams that is dropped. */
 };
 
-/** Passes TCP connections on. */
+/** Forwards TCP connections. */
 class StreamLink
 {
 public:
@@ -44,7 +44,7 @@
     std::shared_ptr<State> state;
 };
 
-/** Passes datagrams on, one way. */
+/** Forwards datagrams in one direction. */
 class DatagramLink
 {
 public:
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -1,4 +1,5 @@
-/** `anisehold-soak`: random faults against real processes, checked against what callers and servers see. */
+/** `anisehold-soak`: injects random faults into real processes and checks what clients and servers
+    observe. */
 
 #include <CLI/CLI.hpp>
 #include <boost/process/args.hpp>
@@ -22,7 +23,7 @@
 constexpr int promisesBroken = 1;
 constexpr int notStarted = 3;
 
-/** Runs one round in this process and prints what it showed. */
+/** Runs one round in this process and prints its results. */
 int playRound (const RoundOptions& options)
 {
     const auto result = runRound (options);
@@ -54,7 +55,7 @@
     return promisesBroken;
 }
 
-/** Each round has a process of its own, so that nothing of one reaches the next. */
+/** Runs each round in its own process, so that rounds do not affect each other. */
 int playInChild (const std::string& program, const RoundOptions& options)
 {
     namespace process = boost::process;
@@ -66,7 +67,7 @@
     return child.exit_code();
 }
 
-/** Seeds of a file: the first word of each line; `#` begins a comment. */
+/** Reads the seeds of a file: the first word of each line; lines that begin with `#` are comments. */
 std::vector<std::uint64_t> readSeeds (const std::string& fileName)
 {
     std::vector<std::uint64_t> seeds;
--- a/soak/plan.cpp
+++ b/soak/plan.cpp
@@ -19,36 +19,37 @@
     "server-leaving",      "process-signalled",    "configurations-in-series"
 };
 
-constexpr milliseconds shortestFault{ 300 };
-constexpr milliseconds longestFault{ 4'000 };
-/** A planned stop ends by itself; it needs its whole grace time. */
-constexpr milliseconds leastStop{ 3'500 };
-/** A limit is bound to hold some seconds after it was named first. */
-constexpr milliseconds leastLimit{ 6'000 };
-constexpr milliseconds longestLimit{ 9'000 };
-/** Seeds the draws of the faults that every plan has, apart from the others'. */
-constexpr std::uint64_t constantStream = 0x9e3779b97f4a7c15;
-
-/** Draws from 0 to `n` - 1. */
+constexpr milliseconds minFaultTime{ 300 };
+constexpr milliseconds maxFaultTime{ 4'000 };
+/** A planned stop ends by itself and needs its whole grace time. */
+constexpr milliseconds minStopTime{ 3'500 };
+/** A limit is enforced only some seconds after it was first stated. */
+constexpr milliseconds minLimitTime{ 6'000 };
+constexpr milliseconds maxLimitTime{ 9'000 };
+/** Modifies the seed for the faults that every plan contains, so that their draws are independent of the
+    others. */
+constexpr std::uint64_t guaranteedFaultSalt = 0x9e3779b97f4a7c15;
+
+/** Draws a number from 0 to `n` - 1. */
 std::size_t drawBelow (std::mt19937_64& random, std::size_t n)
 {
     return static_cast<std::size_t> (random() % n);
 }
 
-milliseconds drawBetween (std::mt19937_64& random, milliseconds least, milliseconds most)
+milliseconds drawBetween (std::mt19937_64& random, milliseconds min, milliseconds max)
 {
-    const auto span = static_cast<std::size_t> (std::max (1LL, to_milliseconds (most - least)));
-    return least + milliseconds (static_cast<long long> (drawBelow (random, span)));
+    const auto span = static_cast<std::size_t> (std::max (1LL, to_milliseconds (max - min)));
+    return min + milliseconds (static_cast<long long> (drawBelow (random, span)));
 }
 
-/** Whether the fault is about one instance of a server. */
+/** Whether the fault concerns one instance of a server. */
 bool needsInstance (FaultKind kind)
 {
     return kind == FaultKind::serverReplaced || kind == FaultKind::serverLimited ||
            kind == FaultKind::serverLeaving;
 }
 
-/** Whether both act on the same thing, so that the end of one would end the other too. */
+/** Whether both faults affect the same target, so that the end of one would end the other too. */
 bool sharesTarget (const Fault& a, const Fault& b)
 {
     const bool bothProcess = affectsProcess (a.kind) && affectsProcess (b.kind);
@@ -62,34 +63,34 @@
 
 bool overlaps (const Fault& a, const Fault& b)
 {
-    return a.at < b.at + b.lasts && b.at < a.at + a.lasts;
+    return a.at < b.at + b.duration && b.at < a.at + a.duration;
 }
 
-milliseconds leastOf (FaultKind kind)
+milliseconds minDurationOf (FaultKind kind)
 {
     if (kind == FaultKind::processStopped)
-        return leastStop;
+        return minStopTime;
 
-    return kind == FaultKind::serverLimited ? leastLimit : shortestFault;
+    return kind == FaultKind::serverLimited ? minLimitTime : minFaultTime;
 }
 
-/** A fault of this kind, with everything else drawn. */
+/** Returns a fault of this kind with a random machine, time and duration. */
 Fault drawFault (std::mt19937_64& random, FaultKind kind, const PlanShape& shape)
 {
     Fault fault;
     fault.kind = kind;
     fault.machine = MachineIndex (drawBelow (random, shape.numMachines));
-    const auto most = kind == FaultKind::serverLimited ? longestLimit : longestFault;
-    fault.lasts = drawBetween (random, leastOf (kind), most);
-    fault.at = drawBetween (random, milliseconds (0), shape.faultsEnd - fault.lasts);
+    const auto max = kind == FaultKind::serverLimited ? maxLimitTime : maxFaultTime;
+    fault.duration = drawBetween (random, minDurationOf (kind), max);
+    fault.at = drawBetween (random, milliseconds (0), shape.faultsEnd - fault.duration);
     return fault;
 }
 
-void addUnlessClashing (std::vector<Fault>& plan, const Fault& fault)
+void addUnlessConflicting (std::vector<Fault>& plan, const Fault& fault)
 {
-    const auto clashes = [&] (const Fault& it) { return sharesTarget (it, fault) && overlaps (it, fault); };
+    const auto conflicts = [&] (const Fault& it) { return sharesTarget (it, fault) && overlaps (it, fault); };
 
-    if (std::none_of (plan.begin(), plan.end(), clashes))
+    if (std::none_of (plan.begin(), plan.end(), conflicts))
         plan.push_back (fault);
 }
 
@@ -115,13 +116,13 @@
     {
         const auto kind =
             static_cast<FaultKind> (drawBelow (random, static_cast<std::size_t> (firstGuaranteedKind)));
-        addUnlessClashing (plan, drawFault (random, kind, shape));
+        addUnlessConflicting (plan, drawFault (random, kind, shape));
     }
 
-    std::mt19937_64 further (seed ^ constantStream);
+    std::mt19937_64 guaranteedRandom (seed ^ guaranteedFaultSalt);
 
     for (auto n = static_cast<std::size_t> (firstGuaranteedKind); n < numFaultKinds; ++n)
-        addUnlessClashing (plan, drawFault (further, static_cast<FaultKind> (n), shape));
+        addUnlessConflicting (plan, drawFault (guaranteedRandom, static_cast<FaultKind> (n), shape));
 
     std::stable_sort (plan.begin(), plan.end(), [] (const Fault& a, const Fault& b) { return a.at < b.at; });
     return plan;
@@ -130,7 +131,7 @@
 std::string describe (const Fault& fault)
 {
     return std::string (nameOf (fault.kind)) + " machine-" + std::to_string (fault.machine.value) + " at " +
-           std::to_string (fault.at.count()) + " ms for " + std::to_string (fault.lasts.count()) + " ms";
+           std::to_string (fault.at.count()) + " ms for " + std::to_string (fault.duration.count()) + " ms";
 }
 
 } // namespace anisehold::soak
--- a/soak/promises.cpp
+++ b/soak/promises.cpp
@@ -24,28 +24,29 @@
     return std::find (promisingStatuses.begin(), promisingStatuses.end(), status) != promisingStatuses.end();
 }
 
-/** A limit must hold from so long after it was first named on. */
-constexpr seconds limitContact{ 3 };
+/** A limit must be kept from this time after it was first stated. */
+constexpr seconds limitNoticeTime{ 3 };
 constexpr seconds limitWindow{ 4 };
 constexpr double limitFactor = 1.5;
 constexpr double limitSlack = 5;
-/** A machine is bound by what it passed on from so long after it on. */
-constexpr milliseconds limitTold{ 500 };
+/** A machine must keep a limit from this time after it forwarded the limit. */
+constexpr milliseconds limitForwardTime{ 500 };
 
-/** Calls that servers make themselves bear this mark in their id and aren't known in advance. */
+/** Nested calls made by servers have this mark in their id and are not known in advance. */
 bool isNestedCall (const RequestId& id)
 {
     return id.value.find (":call-") != std::string::npos;
 }
 
-/** Where a call began that a server made: its id holds the server's, and that its machine. */
+/** Returns the machine where a nested call started: the call's id contains the server's id, and that id
+    contains the machine. */
 std::size_t machineOfNestedCall (const RequestId& id)
 {
     constexpr std::string_view mark = ":call-i-";
     return std::strtoul (id.value.c_str() + id.value.rfind (mark) + mark.size(), nullptr, 10);
 }
 
-/** The instance that signed the answer. */
+/** Returns the instance that signed the response. */
 InstanceId signerOf (const ReceivedAnswer& answer)
 {
     return InstanceId (answer.signature.substr (0, answer.signature.find ('.')));
@@ -120,7 +121,7 @@
     if (arrival.tenant != sent.tenant)
         report (Promise::tenantIsSet, arrival.id.value + " for \"" + arrival.tenant + "\"");
 
-    const bool isLate = keyTakenAway != TimePoint::max() && sent.at > keyTakenAway + revocation;
+    const bool isLate = keyRevokedAt != TimePoint::max() && sent.at > keyRevokedAt + revocation;
 
     if (sent.usesRevokedKey && isLate)
         report (Promise::revokedIsRefused, arrival.id.value + " at " + arrival.instance.value);
@@ -129,10 +130,10 @@
 void PromiseChecker::checkSuccess (const Request& request, const ReceivedAnswer& answer)
 {
     const auto& sent = request.sent;
-    const bool own = answer.echoedId == sent.id.value && ! answer.signature.empty() &&
-                     answer.body == sent.service + " " + sent.target;
+    const bool isOwn = answer.echoedId == sent.id.value && ! answer.signature.empty() &&
+                       answer.body == sent.service + " " + sent.target;
 
-    if (! own)
+    if (! isOwn)
         report (Promise::answerIsOwn, sent.id.value + " got \"" + answer.body + "\" for " + answer.echoedId);
 }
 
@@ -170,15 +171,15 @@
 void PromiseChecker::checkLimit (std::size_t machine, const Arrival& arrival)
 {
     const auto named = limits.find (arrival.instance);
-    const auto told = limitForwardedAt.find ({ machine, arrival.instance });
+    const auto forwarded = limitForwardedAt.find ({ machine, arrival.instance });
 
-    if (named == limits.end() || told == limitForwardedAt.end())
+    if (named == limits.end() || forwarded == limitForwardedAt.end())
         return;
 
     auto& limit = named->second;
-    const bool isInForce = arrival.at >= limit.from + limitContact && arrival.at < limit.until;
+    const bool isInForce = arrival.at >= limit.from + limitNoticeTime && arrival.at < limit.until;
 
-    if (! isInForce || arrival.at < told->second + limitTold)
+    if (! isInForce || arrival.at < forwarded->second + limitForwardTime)
         return;
 
     limit.arrivals.push_back (arrival.at);
@@ -199,9 +200,9 @@
 
 void PromiseChecker::checkLeaving (const SentRequest& sent, const Arrival& arrival)
 {
-    const auto told = leavingForwardedAt.find ({ sent.machine, arrival.instance });
+    const auto forwarded = leavingForwardedAt.find ({ sent.machine, arrival.instance });
 
-    if (told != leavingForwardedAt.end() && sent.at > told->second + drainTimeout)
+    if (forwarded != leavingForwardedAt.end() && sent.at > forwarded->second + drainTimeout)
         report (Promise::leavingIsFinal, sent.id.value + " at " + arrival.instance.value);
 }
 
--- a/soak/promises.hpp
+++ b/soak/promises.hpp
@@ -1,6 +1,6 @@
-/** The promises that the soak checks, from what clients and servers saw.
+/** The guarantees that the soak test checks, based on what clients and servers observe.
 
-    Nothing of the system's own logs or state is used. Pure: observations in, broken promises out.
+    Nothing from the system's own logs or state is used. Pure: observations in, broken promises out.
 */
 #pragma once
 
@@ -20,27 +20,30 @@
 using RequestId = Strong<struct RequestIdTag, std::string>;
 using InstanceId = Strong<struct InstanceIdTag, std::string>;
 
-/** What must hold for every request. */
+/** A guarantee that must hold for every request. */
 enum class Promise
 {
-    runsOnce,         /**< A request that may not be repeated ran more than once. */
-    refusedNeverRuns, /**< It was refused with a promise that it has not run, and ran. */
-    answerIsOwn,      /**< A success that isn't the server's whole signed answer to this request. */
-    nothingUnasked,   /**< A server got an id that no client sent, or another target. */
-    rightService,     /**< It ran at another service than its route's. */
-    boundedServers,   /**< It reached more servers than its route allows. */
-    drainedIsLeft,    /**< It reached a server long after the leave was acknowledged. */
-    answeredInTime,   /**< Still no answer long after its deadline, at a machine without a fault. */
-    recovers,         /**< After the last fault the share of served requests stays low. */
+    runsOnce,         /**< A request that must not be repeated ran more than once. */
+    refusedNeverRuns, /**< The request ran although it was refused with a status that promises that it has not
+                         run. */
+    answerIsOwn, /**< A successful response is not the server's complete, signed response to this request. */
+    nothingUnasked,   /**< A server received an id that no client sent, or a changed target. */
+    rightService,     /**< The request ran at another service than its route's. */
+    boundedServers,   /**< The request reached more servers than its route allows. */
+    drainedIsLeft,    /**< The request reached a server long after the server's leave was acknowledged. */
+    answeredInTime,   /**< The request got no response until long after its deadline, at a machine without a
+                         fault. */
+    recovers,         /**< The share of served requests stayed low after the last fault. */
     staysAlive,       /**< A process ended by itself. */
-    tenantIsSet,      /**< A server got another tenant than its key's. */
-    keyIsHidden,      /**< A server was shown the caller's key. */
-    revokedIsRefused, /**< It ran although its key had been taken away long before it was sent. */
-    limitIsKept, /**< A server got more than the rate that it named, from machines that had passed that on. */
-    leavingIsFinal /**< It reached a server long after its machine had passed on that this one leaves. */
+    tenantIsSet,      /**< A server received another tenant than the key's. */
+    keyIsHidden,      /**< A server received the caller's key. */
+    revokedIsRefused, /**< The request ran although its key had been revoked long before. */
+    limitIsKept,   /**< A server received more than its stated rate from machines that forwarded the limit. */
+    leavingIsFinal /**< The request reached a server long after its machine had forwarded that the server
+                      leaves. */
 };
 
-/** The promise's name in reports. */
+/** Returns the promise's name in reports. */
 std::string_view nameOf (Promise);
 
 struct BrokenPromise
@@ -56,27 +59,27 @@
     std::string service;
     std::string target;
     bool mayRepeat = false;
-    unsigned maxServers = 2;     /**< Of its route. */
-    std::string tenant{};        /**< That holds its key; empty without one. */
-    bool usesRevokedKey = false; /**< Its key is one that is taken away in the course of the round. */
+    unsigned maxServers = 2;     /**< Maximum of the request's route. */
+    std::string tenant{};        /**< The tenant that holds the request's key; empty without a key. */
+    bool usesRevokedKey = false; /**< The key is revoked during the round. */
     TimePoint at{};
-    std::size_t machine = 0; /**< Where its client sent it. */
+    std::size_t machine = 0; /**< The machine to which the client sent the request. */
 };
 
-/** What its client got. */
+/** The response that a client received. */
 struct ReceivedAnswer
 {
     RequestId id;
-    unsigned status = 0; /**< 0: no answer. */
+    unsigned status = 0; /**< 0: no response. */
     std::string echoedId;
     std::string signature;
     std::string body;
-    bool namesLimit = false;       /**< Its server names a rate limit in it. */
-    bool announcesLeaving = false; /**< Its server says in it that it leaves. */
+    bool namesLimit = false;       /**< The response states a rate limit of its server. */
+    bool announcesLeaving = false; /**< The response states that its server is leaving. */
     TimePoint at{};
 };
 
-/** What a server saw of it. */
+/** A request as received by a server. */
 struct Arrival
 {
     RequestId id;
@@ -85,16 +88,16 @@
     std::string target;
     bool runs = false;
     TimePoint at;
-    std::string tenant{}; /**< That the server got. */
+    std::string tenant{}; /**< The tenant that the server received. */
     bool showsKey = false;
 };
 
-/** Collects what was seen and names each promise that it breaks. */
+/** Collects observations and reports each promise that they break. */
 class PromiseChecker
 {
 public:
-    /** `drainTimeout`: after an acknowledged leave, arrivals are allowed for this long. `revocation`: after a
-        key was taken away, it may be served for this long. */
+    /** `drainTimeout`: how long arrivals are allowed after an acknowledged leave. `revocation`: how long a
+        key may be accepted after it was revoked. */
     PromiseChecker (Duration drainTimeoutToUse, Duration revocationToUse)
         : drainTimeout (drainTimeoutToUse),
           revocation (revocationToUse)
@@ -104,17 +107,17 @@
     void onSent (const SentRequest&);
     void onAnswer (const ReceivedAnswer&);
     void onArrival (const Arrival&);
-    /** The store acknowledged that the key of `usesRevokedKey` was taken away. */
-    void onKeyTakenAway (TimePoint at) { keyTakenAway = at; }
+    /** Records when the store acknowledged the revocation of the key of `usesRevokedKey`. */
+    void onKeyRevoked (TimePoint at) { keyRevokedAt = at; }
     void onLeaveAcknowledged (const InstanceId&, TimePoint at);
-    /** The server names a rate limit, in requests a second, in [`from`, `until`). */
+    /** The server states a rate limit, in requests per second, in [`from`, `until`). */
     void onLimitNamed (const InstanceId&, double perS, TimePoint from, TimePoint until);
-    /** The machine's process or links are disturbed until then: what it had passed on binds it no more. A cut
-        alone excuses nothing from a server's leaving. */
+    /** The machine's process or links are disturbed until `until`, so limits that it forwarded before no
+        longer bind it. Disturbed links alone do not affect the check of a server's leaving. */
     void onMachineDisturbed (std::size_t machine, TimePoint until, bool isProcess);
     void report (Promise, std::string detail);
 
-    /** Checks what only the end can tell: that what was refused never ran. */
+    /** Checks at the end of a round that no refused request ran. */
     void finish();
 
     const std::vector<BrokenPromise>& broken() const { return found; }
@@ -127,7 +130,7 @@
         SentRequest sent;
         unsigned runs = 0;
         unsigned servers = 0;
-        unsigned refusedWith = 0; /**< Status that promised that it has not run; 0: none. */
+        unsigned refusedWith = 0; /**< The status that promised that the request has not run; 0: none. */
     };
 
     /** A machine and a server. */
@@ -138,7 +141,7 @@
         double perS = 0;
         TimePoint from;
         TimePoint until;
-        std::deque<TimePoint> arrivals; /**< Those that count, of the last window. */
+        std::deque<TimePoint> arrivals; /**< The counted arrivals of the last window. */
         bool isBroken = false;
     };
 
@@ -150,12 +153,14 @@
 
     Duration drainTimeout;
     Duration revocation;
-    TimePoint keyTakenAway = TimePoint::max();
+    TimePoint keyRevokedAt = TimePoint::max();
     std::map<RequestId, Request> requests;
     std::map<InstanceId, TimePoint> left;
     std::map<InstanceId, NamedLimit> limits;
-    std::map<Pair, TimePoint> limitForwardedAt;   /**< When the machine passed on such an answer first. */
-    std::map<Pair, TimePoint> leavingForwardedAt; /**< The same. */
+    std::map<Pair, TimePoint>
+        limitForwardedAt; /**< When the machine first forwarded a response that states a limit. */
+    std::map<Pair, TimePoint>
+        leavingForwardedAt; /**< When the machine first forwarded a response that states leaving. */
     std::map<std::size_t, TimePoint> disturbedUntil;
     std::vector<BrokenPromise> found;
     std::size_t served = 0;
--- a/soak/round.cpp
+++ b/soak/round.cpp
@@ -16,22 +16,22 @@
 using testing::Fleet;
 using testing::SidecarFleet;
 
-/** How long the fleet gets after the last fault before it must serve again. */
+/** Time after the last fault until the fleet must serve again. */
 constexpr milliseconds recoveryTime{ 6'000 };
-/** How long it is watched after that. */
+/** Duration of the check that follows the recovery time. */
 constexpr milliseconds watchTime{ 2'000 };
-/** Least share of requests that is served then. */
-constexpr double leastServed = 0.97;
+/** Minimum share of the requests that must be served in that time. */
+constexpr double minServedShare = 0.97;
 constexpr milliseconds drainTimeout{ 500 };
 constexpr milliseconds requestTime{ 1'500 };
-/** How much later than its deadline a request may be answered. */
+/** How long after its deadline a response may arrive. */
 constexpr milliseconds answerSlack{ 500 };
 constexpr milliseconds clientPause{ 30 };
 constexpr std::size_t clientsPerMachine = 2;
 constexpr unsigned statusOk = 200;
 
-/** A machine of each service in each zone; "front" calls "back", "pay" runs at most once and calls "back"
- * too. */
+/** One machine of each service in each zone; "front" calls "back"; "pay" runs at most once and also calls
+    "back". */
 std::vector<testing::SidecarMachinePlan> machinePlans (std::size_t numZones)
 {
     const std::vector<lab::NestedCall> calls{ { "back.example", "/back/call" } };
@@ -48,7 +48,7 @@
     return plans;
 }
 
-/** The clients' keys, and the tenants that hold them. The last one is taken away in the course of a round. */
+/** The clients' keys, and the tenants that hold them. The last key is revoked during the round. */
 struct ClientKey
 {
     std::string key;
@@ -63,7 +63,7 @@
     return keys;
 }
 
-/** All routes may be called without a key: the fleet's own probes and servers have none. */
+/** All routes may be called without a key, since the fleet's own probes and servers have none. */
 std::string configuration (unsigned version, bool holdsLastKey)
 {
     auto document =
@@ -111,7 +111,7 @@
         startClients();
         injector.start (result.plan);
         boost::this_fiber::sleep_for (options.faultsEnd / 2);
-        takeKeyAway();
+        revokeKey();
         boost::this_fiber::sleep_for (options.faultsEnd - options.faultsEnd / 2 + recoveryTime);
         checkProcesses();
         isWatched = true;
@@ -136,11 +136,11 @@
         }
     }
 
-    void takeKeyAway()
+    void revokeKey()
     {
         holdsLastKey = false;
         injector.changeConfiguration();
-        checker.onKeyTakenAway (TimePoint::clock::now());
+        checker.onKeyRevoked (TimePoint::clock::now());
     }
 
     //==============================================================================
@@ -156,7 +156,7 @@
     void runClient (std::size_t machine, std::size_t client)
     {
         static const std::vector<std::string> services{ "front", "pay", "back" };
-        // Its connection is used until the daemon or its process ends it.
+        // The connection is used until the daemon or its process ends it.
         auto connection = fleet.client_of (machine);
 
         for (std::size_t n = 0; ! isOver; ++n)
@@ -182,23 +182,23 @@
     {
         const auto machine = sent.machine;
         checker.onSent (sent);
-        // A key that was taken away is refused for good, as it should be.
+        // A request with a revoked key is refused, which is correct.
         const bool counts = isWatched && ! sent.usesRevokedKey;
-        const bool wasSound = ! injector.isDisturbed (machine);
+        const bool wasUndisturbed = ! injector.isDisturbed (machine);
         const auto started = TimePoint::clock::now();
         testing::ClientRequest request{ sent.mayRepeat ? "GET" : "POST", sent.service + ".example",
                                         sent.target, sent.id.value, requestTime };
         request.fields.add ("Authorization", "Bearer " + key);
         const auto got = fleet.send_over (machine, connection, request);
-        const auto taken = TimePoint::clock::now() - started;
+        const auto elapsed = TimePoint::clock::now() - started;
         checker.onAnswer ({ sent.id, got.status, std::string (got.fields.find ("Request-Id").value_or ("")),
                             std::string (got.fields.find ("Server-Signature").value_or ("")), got.body,
                             got.fields.find ("Server-Limit").has_value(),
                             got.fields.find ("Server-Leaving").has_value(), TimePoint::clock::now() });
 
-        if (wasSound && ! injector.isDisturbed (machine) && taken > requestTime + answerSlack)
+        if (wasUndisturbed && ! injector.isDisturbed (machine) && elapsed > requestTime + answerSlack)
             checker.report (Promise::answeredInTime,
-                            sent.id.value + " after " + std::to_string (to_milliseconds (taken)) + " ms");
+                            sent.id.value + " after " + std::to_string (to_milliseconds (elapsed)) + " ms");
 
         if (! counts)
             return;
@@ -226,7 +226,7 @@
         result.servedAfterFaults =
             watchedSent == 0 ? 0 : static_cast<double> (watchedServed) / static_cast<double> (watchedSent);
 
-        if (result.servedAfterFaults < leastServed)
+        if (result.servedAfterFaults < minServedShare)
             checker.report (Promise::recovers, std::to_string (watchedServed) + " of " +
                                                    std::to_string (watchedSent) +
                                                    " requests after the faults");
@@ -254,7 +254,7 @@
 
 RoundResult runRound (const RoundOptions& options)
 {
-    // Fibers of the round outlast it by a little; what they refer to must stay.
+    // Some fibers of the round end shortly after it; the objects that they refer to must stay valid.
     auto* round = new Round (options);
     return round->run();
 }
--- a/soak/round.hpp
+++ b/soak/round.hpp
@@ -1,4 +1,4 @@
-/** One round of the soak: a fleet of real processes, clients, the faults of a plan, and the checks. */
+/** One round of the soak test: a fleet of real processes, clients, the faults of a plan, and the checks. */
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 namespace anisehold::soak
 {
 
-/** What a round is run with. */
+/** Parameters of a round. */
 struct RoundOptions
 {
     std::uint64_t seed = 1;
     std::uint16_t basePort = 28'000;
     std::size_t numFaults = 16;
-    std::size_t numZones = 2; /**< With three machines each. */
+    std::size_t numZones = 2; /**< Each zone has three machines. */
     milliseconds faultsEnd{ 10'000 };
 };
 
-/** What a round showed. */
+/** Results of a round. */
 struct RoundResult
 {
     bool started = false;
@@ -29,7 +29,7 @@
     std::vector<BrokenPromise> broken;
     std::size_t numSent = 0;
     std::size_t numServed = 0;
-    double servedAfterFaults = 0; /**< Share of the requests sent after the time of recovery. */
+    double servedAfterFaults = 0; /**< Share of the requests sent after the recovery time that were served. */
     std::string logFolder;
 };
 
--- a/tests/unit/soak/plan_test.cpp
+++ b/tests/unit/soak/plan_test.cpp
@@ -13,12 +13,12 @@
 
 bool sameFault (const Fault& a, const Fault& b)
 {
-    return a.kind == b.kind && a.machine == b.machine && a.at == b.at && a.lasts == b.lasts;
+    return a.kind == b.kind && a.machine == b.machine && a.at == b.at && a.duration == b.duration;
 }
 
 } // namespace
 
-TEST_CASE ("a seed gives the same plan each time, and another seed another one", "[soak]")
+TEST_CASE ("equal seeds give equal plans, and different seeds different plans", "[soak]")
 {
     const auto first = drawPlan (7, shape);
     const auto again = drawPlan (7, shape);
@@ -28,7 +28,7 @@
     CHECK_FALSE (std::equal (first.begin(), first.end(), other.begin(), other.end(), sameFault));
 }
 
-TEST_CASE ("faults are in order, within the time, and of known machines", "[soak]")
+TEST_CASE ("faults are ordered, within the time limit, and of existing machines", "[soak]")
 {
     for (std::uint64_t seed = 0; seed < 300; ++seed)
     {
@@ -37,7 +37,7 @@
         for (const auto& it : drawPlan (seed, shape))
         {
             CHECK (it.at >= before);
-            CHECK (it.at + it.lasts <= shape.faultsEnd);
+            CHECK (it.at + it.duration <= shape.faultsEnd);
             CHECK (it.machine.value < shape.numMachines);
             before = it.at;
         }
@@ -60,13 +60,13 @@
                     plan[a].machine != plan[b].machine)
                     continue;
 
-                CHECK (plan[a].at + plan[a].lasts <= plan[b].at);
+                CHECK (plan[a].at + plan[a].duration <= plan[b].at);
             }
         }
     }
 }
 
-TEST_CASE ("every kind is drawn", "[soak]")
+TEST_CASE ("every kind of fault is drawn", "[soak]")
 {
     std::set<FaultKind> seen;
 
--- a/tests/unit/soak/promises_test.cpp
+++ b/tests/unit/soak/promises_test.cpp
@@ -13,7 +13,7 @@
 const InstanceId one{ "i-1" };
 const InstanceId other{ "i-2" };
 
-/** A checker that knows one request of each kind. */
+/** Returns a checker with one request of each kind. */
 PromiseChecker checkerWithRequests()
 {
     PromiseChecker checker (milliseconds (500), seconds (3));
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE ("a sound run breaks nothing", "[soak]")
+TEST_CASE ("a correct run breaks no promise", "[soak]")
 {
     auto checker = checkerWithRequests();
     checker.onArrival (arrivalOf (payment, one));
@@ -54,7 +54,7 @@
     CHECK (checker.numServed() == 2);
 }
 
-TEST_CASE ("a payment that runs twice is seen", "[soak]")
+TEST_CASE ("a payment that runs twice is reported", "[soak]")
 {
     auto checker = checkerWithRequests();
     checker.onArrival (arrivalOf (payment, one));
@@ -71,7 +71,7 @@
     CHECK (checker.broken().empty());
 }
 
-TEST_CASE ("a refused payment that runs is seen, whichever comes first", "[soak]")
+TEST_CASE ("a refused payment that runs is reported, in either order of events", "[soak]")
 {
     const unsigned status = GENERATE (408U, 421U, 429U, 503U);
     const bool runsFirst = GENERATE (true, false);
@@ -89,7 +89,7 @@
     checkOnly (checker, Promise::refusedNeverRuns);
 }
 
-TEST_CASE ("an answer without a promise may have run", "[soak]")
+TEST_CASE ("a request refused without a promise may have run", "[soak]")
 {
     auto checker = checkerWithRequests();
     checker.onArrival (arrivalOf (payment, one));
@@ -98,7 +98,7 @@
     CHECK (checker.broken().empty());
 }
 
-TEST_CASE ("a success that isn't the server's own answer is seen", "[soak]")
+TEST_CASE ("a success that is not the server's own response is reported", "[soak]")
 {
     auto answer = successOf (lookup);
     const int part = GENERATE (0, 1, 2);
@@ -115,7 +115,7 @@
     checkOnly (checker, Promise::answerIsOwn);
 }
 
-TEST_CASE ("requests that nobody sent, or that were changed, are seen", "[soak]")
+TEST_CASE ("requests that no client sent, or that were changed, are reported", "[soak]")
 {
     auto checker = checkerWithRequests();
     checker.onArrival (arrivalOf (RequestId ("smuggled"), one));
@@ -128,7 +128,7 @@
     checkOnly (second, Promise::nothingUnasked);
 }
 
-TEST_CASE ("a run at another service is seen", "[soak]")
+TEST_CASE ("a run at another service is reported", "[soak]")
 {
     auto checker = checkerWithRequests();
     auto wrong = arrivalOf (lookup, one);
@@ -137,7 +137,7 @@
     checkOnly (checker, Promise::rightService);
 }
 
-TEST_CASE ("more servers than the route allows are seen once", "[soak]")
+TEST_CASE ("more servers than the route allows are reported once", "[soak]")
 {
     auto checker = checkerWithRequests();
 
@@ -147,7 +147,7 @@
     checkOnly (checker, Promise::boundedServers);
 }
 
-TEST_CASE ("an arrival long after the acknowledged leave is seen", "[soak]")
+TEST_CASE ("an arrival long after the acknowledged leave is reported", "[soak]")
 {
     auto checker = checkerWithRequests();
     checker.onLeaveAcknowledged (one, TimePoint (milliseconds (9'600)));
@@ -160,7 +160,7 @@
     checkOnly (late, Promise::drainedIsLeft);
 }
 
-TEST_CASE ("a tenant that isn't the key's, and a key that is shown, are seen", "[soak]")
+TEST_CASE ("a tenant other than the key's, and a key sent to a server, are reported", "[soak]")
 {
     PromiseChecker checker (milliseconds (500), seconds (3));
     checker.onSent ({ lookup, "back", "/back/1", true, 2, "blue" });
@@ -179,7 +179,7 @@
     checkOnly (shown, Promise::keyIsHidden);
 }
 
-TEST_CASE ("a call that a server makes belongs to no tenant", "[soak]")
+TEST_CASE ("a nested call belongs to no tenant", "[soak]")
 {
     auto checker = checkerWithRequests();
     auto call = arrivalOf (RequestId ("p:call-1"), one);
@@ -190,13 +190,13 @@
     checkOnly (checker, Promise::tenantIsSet);
 }
 
-TEST_CASE ("a request with a key that was taken away long before it was sent is seen", "[soak]")
+TEST_CASE ("a request with a key that was revoked long before it was sent is reported", "[soak]")
 {
-    const TimePoint taken (seconds (20));
+    const TimePoint revoked (seconds (20));
     PromiseChecker checker (milliseconds (500), seconds (3));
-    checker.onSent ({ lookup, "back", "/back/1", true, 2, "", true, taken + milliseconds (2'999) });
-    checker.onSent ({ payment, "pay", "/pay/1", false, 2, "", true, taken + milliseconds (3'001) });
-    checker.onKeyTakenAway (taken);
+    checker.onSent ({ lookup, "back", "/back/1", true, 2, "", true, revoked + milliseconds (2'999) });
+    checker.onSent ({ payment, "pay", "/pay/1", false, 2, "", true, revoked + milliseconds (3'001) });
+    checker.onKeyRevoked (revoked);
     checker.onArrival (arrivalOf (lookup, one));
     CHECK (checker.broken().empty());
     checker.onArrival (arrivalOf (payment, one));
@@ -209,8 +209,8 @@
 constexpr double limitPerS = 2;
 const TimePoint named = TimePoint (seconds (100));
 
-/** A checker of a server with a limit of two a second, named from 100 s on, and of as many requests at
- * machine 4. */
+/** A checker with a server whose limit of two per second is stated from 100 s on, and with `requests`
+    requests at machine 4. */
 PromiseChecker limitedChecker (std::size_t numRequests)
 {
     PromiseChecker checker (milliseconds (500), seconds (3));
@@ -226,7 +226,7 @@
     return checker;
 }
 
-/** The first request's answer, which names what is given. */
+/** The response to the first request, which states the given notices. */
 ReceivedAnswer answerWith (bool namesLimit, bool announcesLeaving)
 {
     return { RequestId ("l0"), 200, "l0", "i-1.l0", "back /back/1", namesLimit, announcesLeaving, named };
@@ -237,7 +237,7 @@
     checker.onArrival ({ RequestId ("l" + std::to_string (request)), one, "back", "/back/1", true, at });
 }
 
-/** Requests 50 ms apart, from so long after the naming on. */
+/** Requests at intervals of 50 ms, from the given time after the limit was stated. */
 void arriveMany (PromiseChecker& checker, std::size_t numRequests, seconds after)
 {
     for (std::size_t n = 0; n < numRequests; ++n)
@@ -248,7 +248,7 @@
 
 } // namespace
 
-TEST_CASE ("more than a server's limit from machines that were told is seen", "[soak]")
+TEST_CASE ("exceeding a server's limit by machines that forwarded it is reported", "[soak]")
 {
     const auto numBeyond = GENERATE (0U, 1U);
     const auto numRequests = numAllowed + numBeyond;
@@ -258,17 +258,17 @@
     CHECK (checker.broken().size() == numBeyond);
 }
 
-TEST_CASE ("what a limit doesn't bind isn't held against it", "[soak]")
+TEST_CASE ("requests to which a limit does not apply do not break it", "[soak]")
 {
     auto checker = limitedChecker (60);
 
-    SECTION ("nobody was told") {}
-    SECTION ("the machine was struck since")
+    SECTION ("no machine forwarded the limit") {}
+    SECTION ("the machine was disturbed since")
     {
         checker.onAnswer (answerWith (true, false));
         checker.onMachineDisturbed (4, named + seconds (1), false);
     }
-    SECTION ("it was named a moment ago")
+    SECTION ("the limit was stated too recently")
     {
         checker.onAnswer (answerWith (true, false));
         arriveMany (checker, 30, seconds (1));
@@ -280,7 +280,7 @@
     CHECK (checker.broken().empty());
 }
 
-TEST_CASE ("a request sent long after the machine was told of a leaving is seen", "[soak]")
+TEST_CASE ("a request sent long after the machine forwarded a leaving notice is reported", "[soak]")
 {
     PromiseChecker checker (milliseconds (500), seconds (3));
     SentRequest sent{ RequestId ("l0"), "back", "/back/1", true, 2 };
@@ -289,16 +289,16 @@
     checker.onSent (sent);
     bool isBound = true;
 
-    SECTION ("in touch")
+    SECTION ("connected")
     {
         checker.onAnswer (answerWith (false, true));
     }
-    SECTION ("cut off since")
+    SECTION ("disconnected since")
     {
         checker.onAnswer (answerWith (false, true));
         checker.onMachineDisturbed (4, named + milliseconds (100), false);
     }
-    SECTION ("restarted since")
+    SECTION ("restarted since then")
     {
         checker.onAnswer (answerWith (false, true));
         checker.onMachineDisturbed (4, named + milliseconds (100), true);
