--- a/tests/process/links_test.cpp
+++ b/tests/process/links_test.cpp
@@ -1,4 +1,4 @@
-/** Sidecars as processes whose links run through forwarders that the test spoils. */
+/** Sidecars as processes whose links run through forwarders that inject faults. */
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -17,10 +17,10 @@
 
 constexpr unsigned statusOk = 200;
 constexpr milliseconds settleTime{ 5'000 };
-/** Below it the store holds one registration per daemon. */
+/** Prefix of the keys under which the store holds one registration per daemon. */
 constexpr const char* memberPrefix = "anisehold/members/";
 
-/** A fleet of four: two of "front", two of "back"; the links of machine 3 are forwarders. */
+/** A fleet of four machines: two of "front", two of "back"; the links of machine 3 are forwarders. */
 struct LinkedFleet
 {
     explicit LinkedFleet (std::uint16_t basePort)
@@ -42,8 +42,8 @@
         REQUIRE (fleet.start (configuration_text (1, { "front", "back" }, {})));
     }
 
-    /** How many of `n` requests for "back" are served; they are sent at machine 1, in the zone of machine 3.
-     */
+    /** Returns how many of `n` requests for "back" are served; they are sent to machine 1, in the zone of
+        machine 3. */
     int serveMany (const std::string& name, int n)
     {
         int served = 0;
@@ -66,21 +66,19 @@
 
 } // namespace
 
-/** What was seen: a machine whose links were silent for a moment got no request within 5 s after they worked
-   again, in one of four runs on a busy machine.
-
-    Order of events: the first request goes to the silent machine and is given up after 2 s. That counts as a
-   failure, which makes the server dear and fades. 400 ms later the links work, and the peers' records come
-   again within a second. The requests go on to the other server, in the other zone, until the test ends.
-
-    Cause: two things that keep the server dear, one of which never ends by itself. The failure fades to half
-   in 1.5 s; the latency that was reported of it stays as it was when it last had a request, and is renewed
-   only by requests. On a busy machine that last one took 10 to 13 ms where others take 5 or 6.
-
-    Evidence: the lines server-passed-over of machine-1, 5 s after the links worked: failures 0.039, latency
-   13180 us and cost 24700 of the returned server, cost 14746 of the chosen one. In each failed run kept (4 of
-   18, load 17 to 25) the first request had been given up after 1995 ms. */
-TEST_CASE ("requests pass over a machine whose links are silent, and come back to it", "[links]")
+/** Guards against a server that gets no more requests after its machine's links were silent for a moment; on
+    a busy machine this happened in 4 of 18 runs at a load of 17 to 25, for the whole 5 s after the links
+    worked again.
+
+    The first request goes to the silent machine and is abandoned after 2 s (1995 ms in each failed run). The
+    failure raises the server's cost and decays to half in 1.5 s. 400 ms later the links work again, and the
+    peers' records arrive within a second. The reported latency, however, also contributes to the cost: it
+    keeps its value from the last request and is updated only by new requests. On a busy machine that value
+    was 10 to 13 ms, where other servers take 5 or 6 ms, so all requests went to the server in the other zone.
+    The server-passed-over lines of machine-1 5 s after the links worked show failures 0.039, latency 13180 us
+    and cost 24700 for this server, against cost 14746 for the chosen one.
+*/
+TEST_CASE ("requests avoid a machine whose links are silent, and return to it afterwards", "[links]")
 {
     LinkedFleet linked (29'000);
     soak::LinkBehaviour silent;
@@ -88,11 +86,12 @@
     silent.toCallerSilent = true;
     linked.hops->setBehaviour (silent);
     linked.gossip->setBehaviour (silent);
-    // A few of the first may wait for an answer that doesn't come; they are retried at the other server.
+    // Some of the first requests may wait for a response that does not arrive; they are retried at the other
+    // server.
     CHECK (linked.serveMany ("silent-", 60) >= 57);
     linked.hops->setBehaviour ({});
     linked.gossip->setBehaviour ({});
-    // Only new requests count: one of those before may still be on its way.
+    // Only new requests count: an earlier one may still be in flight.
     int numBack = 0;
     linked.fleet.machine (3).server->observe ([&] (const lab::ServerArrival& it)
                                               { numBack += it.id.starts_with ("back-") ? 1 : 0; });
@@ -104,7 +103,7 @@
                                     }));
 }
 
-TEST_CASE ("a request that was given up while its link held it back never comes to a server", "[links]")
+TEST_CASE ("a request that was abandoned while its link held it back never reaches a server", "[links]")
 {
     LinkedFleet linked (29'800);
     std::set<std::string> arrived;
@@ -131,7 +130,7 @@
     CHECK (std::none_of (arrived.begin(), arrived.end(), isHeld));
 }
 
-TEST_CASE ("a server that resets every connection costs no request", "[links]")
+TEST_CASE ("a server that resets every connection causes no failed requests", "[links]")
 {
     LinkedFleet linked (29'100);
     soak::LinkBehaviour resetting;
@@ -142,7 +141,7 @@
     CHECK (linked.serveMany ("after-", 50) == 50);
 }
 
-TEST_CASE ("a machine cut off from the store serves on, and takes a new configuration from its peers",
+TEST_CASE ("a machine without access to the store keeps serving, and gets a new configuration from its peers",
            "[links]")
 {
     LinkedFleet linked (29'200);
@@ -161,7 +160,7 @@
     CHECK (linked.serveMany ("cut-", 30) == 30);
 }
 
-TEST_CASE ("a store that throttles everybody holds up nothing, and a daemon started meanwhile comes in",
+TEST_CASE ("a store that throttles all calls delays no request, and a daemon started meanwhile joins",
            "[links]")
 {
     LinkedFleet linked (29'300);
@@ -174,7 +173,7 @@
     CHECK (linked.serveMany ("after-", 40) == 40);
 }
 
-TEST_CASE ("registrations outlast the end of all leases", "[links]")
+TEST_CASE ("registrations survive the end of all leases", "[links]")
 {
     LinkedFleet linked (29'400);
     auto& store = linked.fleet.store();
@@ -184,12 +183,12 @@
     CHECK (linked.serveMany ("leaseless-", 20) == 20);
 }
 
-TEST_CASE ("registrations that the store loses without a word are written again", "[links]")
+TEST_CASE ("registrations that the store loses silently are written again", "[links]")
 {
     LinkedFleet linked (29'700);
     auto& store = linked.fleet.store();
     REQUIRE (store.keys_below (memberPrefix) == linked.fleet.size());
-    // The watchers are appointed by then.
+    // Waits until the watchers are appointed.
     linked.fleet.pause (seconds (2));
     store.lose_below (memberPrefix);
     REQUIRE (store.keys_below (memberPrefix) == 0);
@@ -198,8 +197,9 @@
     CHECK (linked.serveMany ("restored-", 20) == 20);
 }
 
-TEST_CASE ("daemons that start while the store is away are registered two seconds after its return",
-           "[links]")
+TEST_CASE (
+    "daemons that start while the store is unavailable are registered within two seconds of its return",
+    "[links]")
 {
     SidecarFleet fleet (29'600, { { "z1", "front", {} }, { "z1", "back", {} }, { "z2", "back", {} } });
     fleet.store().faults.refuses = true;
@@ -207,7 +207,7 @@
     fleet.pause (seconds (4));
     REQUIRE (fleet.store().keys_below (memberPrefix) == 0);
     fleet.store().faults.refuses = false;
-    // A pause of 1.8 s at most before the look, the write and the list.
+    // A pause of at most 1.8 s precedes the check, the write and the listing.
     CHECK (fleet.eventually (milliseconds (2'300),
                              [&] { return fleet.store().keys_below (memberPrefix) == fleet.size(); }));
     CHECK (fleet.eventually (seconds (3), [&] { return fleet.is_ready (0) && fleet.is_ready (2); }));
@@ -216,7 +216,8 @@
 TEST_CASE ("a server that runs requests and closes gets each of them once", "[links]")
 {
     LinkedFleet linked (29'500);
-    // Connections are kept from here on, so that one that closes looks as if it had been forgotten.
+    // Connections are kept from now on, so that a closing connection looks like an idle connection that the
+    // server closed.
     CHECK (linked.serveMany ("before-", 20) == 20);
     auto& server = *linked.fleet.machine (3).server;
     server.faults.loses_answers = true;
--- a/tests/process/server_starts_test.cpp
+++ b/tests/process/server_starts_test.cpp
@@ -1,4 +1,4 @@
-/** Servers that come back under the name that they had, distinguished by when they began. */
+/** Servers that restart under the same name, distinguished by their start time. */
 
 #include <catch2/catch.hpp>
 
@@ -12,7 +12,7 @@
 {
 
 constexpr unsigned statusOk = 200;
-/** A heartbeat, and the time in which the record after it reaches the peers. */
+/** One heartbeat interval, and the time until the resulting record reaches the peers. */
 constexpr milliseconds settleTime{ 2'000 };
 
 /** Two machines of "front", one of "back". */
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE ("a server that said that it leaves, or crashed, takes requests when it is back", "[starts]")
+TEST_CASE ("a server that left or crashed takes requests after a restart", "[starts]")
 {
     SidecarFleet fleet (nextBasePort(), machines());
     REQUIRE (fleet.start (configuration_text (1, { "front", "back" }, {})));
@@ -49,15 +49,15 @@
     const auto servesAgain = [&]
     { return fleet.eventually (settleTime, [&] { return isServed (fleet, "r-" + std::to_string (++n)); }); };
 
-    SECTION ("it left")
+    SECTION ("the server left")
     {
         server.leave();
     }
-    SECTION ("it was draining")
+    SECTION ("the server was draining")
     {
         REQUIRE (server.drain());
     }
-    SECTION ("it crashed with nothing running") {}
+    SECTION ("the server crashed with nothing running") {}
 
     server.crash();
     REQUIRE (fleet.eventually (settleTime, [&] { return ! isServed (fleet, "g-" + std::to_string (++n)); }));
@@ -65,7 +65,7 @@
     CHECK (servesAgain());
 }
 
-TEST_CASE ("entries that can't be read cost the known server nothing", "[starts]")
+TEST_CASE ("invalid heartbeats do not affect a registered server", "[starts]")
 {
     SidecarFleet fleet (nextBasePort(), machines());
     REQUIRE (fleet.start (configuration_text (1, { "front", "back" }, {})));
@@ -93,24 +93,24 @@
 
     CHECK (served == 100);
     const auto log = fleet.log_of (2);
-    std::size_t numTold = 0;
+    std::size_t numLogged = 0;
 
     for (auto at = log.find ("heartbeat-refused"); at != std::string::npos;
          at = log.find ("heartbeat-refused", at + 1))
-        ++numTold;
+        ++numLogged;
 
-    CHECK (numTold == 2);
+    CHECK (numLogged == 2);
     CHECK (log.find ("sleeping") == std::string::npos);
 }
 
-TEST_CASE ("one item of the store that can't be read hides none of the others", "[starts]")
+TEST_CASE ("an unreadable item of the store does not hide the others", "[starts]")
 {
     SidecarFleet fleet (nextBasePort(), machines());
     REQUIRE (fleet.start (configuration_text (1, { "front", "back" }, {})));
     fleet.store().put_unreadable ("anisehold/members/0-another");
     fleet.store().put_unreadable ("anisehold/verdicts/00");
 
-    // One that starts now learns of its peers by the listing alone.
+    // A daemon that starts now learns of its peers only by the listing.
     fleet.kill (0);
     fleet.start_sidecar (0);
     CHECK (fleet.eventually (seconds (4), [&] { return fleet.is_ready (0) && isServed (fleet, "r"); }));
