--- a/tests/support/eventually.hpp
+++ b/tests/support/eventually.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Waiting for something to become true.
+/// Waits for a condition.
 #pragma once
 
 #include <boost/fiber/operations.hpp>
@@ -8,7 +8,7 @@
 
 namespace anisehold::testing {
 
-/// Polls until `condition` holds, other fibers running meanwhile; false if it doesn't in time.
+/// Polls until `condition` holds while other fibers run; false if the time-out expires first.
 template <typename Condition>
 bool poll_until(Duration timeout, Condition condition) {
     constexpr milliseconds period{20};
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -79,7 +79,7 @@
             place.service = service.name;
             place.zone = zones[server % zones.size()];
             place.listen = next();
-            place.seen = options_.proxy_backends ? next() : place.listen;
+            place.advertised = options_.proxy_backends ? next() : place.listen;
             place.proxy_control = options_.proxy_backends ? next() : place.listen;
             backends_.push_back(place);
         }
@@ -174,7 +174,7 @@
     for (const auto& place : backends_) {
         const bool leaves = std::find(leaving.begin(), leaving.end(), place.name) != leaving.end();
         groups.push_back(
-            {{"targets", json::array({place.seen.text()})},
+            {{"targets", json::array({place.advertised.text()})},
              {"labels",
               {{"service", place.service}, {"zone", place.zone}, {"state", leaves ? "leaving" : "live"}}}});
     }
@@ -209,7 +209,7 @@
 
 void Fleet::start_backends() {
     for (const auto& place : backends_) {
-        // Nested calls go to the daemons of the own zone first.
+        // Nested calls go to the daemons of the local zone first.
         std::vector<std::size_t> order;
         for (const bool own_zone : {true, false}) {
             for (std::size_t index = 0; index < daemons_.size(); ++index) {
@@ -230,7 +230,7 @@
         start_process(place.name, "anisehold-lab", arguments);
         if (options_.proxy_backends) {
             start_process(place.name + "-proxy", "anisehold-lab",
-                          {"proxy", "--listen", place.seen.text(), "--target", place.listen.text(),
+                          {"proxy", "--listen", place.advertised.text(), "--target", place.listen.text(),
                            "--control", place.proxy_control.text()});
         }
     }
@@ -263,7 +263,7 @@
             "--claims-window-ms=60000",
             "--backends-initial-limit=8",
             "--lab-enabled=true",
-            // The answer to each call, too: a failed run is traced from these lines.
+            // Logs the response to each call too, so that a failed run can be traced.
             "--log-level=debug",
         };
         if (!without.empty()) {
@@ -326,7 +326,7 @@
 }
 
 json Fleet::finish_load(const std::string& name) {
-    // Other fibers of the test go on while the load ends.
+    // Other fibers of the test continue while the load ends.
     eventually(seconds(600), [&] { return !process(name).child.running(); });
     return json::parse(read_text(out_file(name)), nullptr, false);
 }
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -21,12 +21,11 @@
     std::string deployment = "cooperative";
     std::uint16_t base_port = 21'000;
     unsigned layer_retries = 0;             ///< Retries of each back end for its nested calls.
-    std::vector<std::string> without;       ///< Mechanisms switched off in all daemons.
-    bool proxy_backends = false;            ///< A fault-injecting proxy before each back end.
-    std::vector<std::string> daemon_flags;  ///< More flags for every daemon.
+    std::vector<std::string> without;       ///< Mechanisms disabled in all daemons.
+    bool proxy_backends = false;            ///< Puts a fault-injecting proxy in front of each back end.
+    std::vector<std::string> daemon_flags;  ///< Additional flags for every daemon.
 };
 
-/// One process.
 struct Process {
     std::string name;
     std::string program;
@@ -40,7 +39,7 @@
     std::string service;
     std::string zone;
     Endpoint listen;
-    Endpoint seen;  ///< What the machine list names: the proxy, where there is one.
+    Endpoint advertised;  ///< The address in the machine list: the proxy's, if there is one.
     Endpoint proxy_control;
 };
 
@@ -53,7 +52,7 @@
     Endpoint admin;
 };
 
-/// The processes of one deployment. All are ended by the destructor.
+/// The processes of one deployment. The destructor ends all of them.
 class Fleet {
   public:
     explicit Fleet(FleetOptions options);
@@ -61,8 +60,8 @@
     Fleet(const Fleet&) = delete;
     Fleet& operator=(const Fleet&) = delete;
 
-    /// Starts everything, accepts the deployment's table and waits until each daemon is ready. False if
-    /// that takes too long.
+    /// Starts all processes, accepts the deployment's table and waits until each daemon is ready. False on a
+    /// time-out.
     bool start();
 
     const lab::Deployment& deployment() const { return deployment_; }
@@ -72,39 +71,40 @@
     Endpoint store() const { return store_; }
     Endpoint machines() const { return machines_; }
 
-    /// Signals to a process by name.
+    /// Send a signal to a process by name.
     void kill(const std::string& name);
     void freeze(const std::string& name);
     void thaw(const std::string& name);
     void terminate(const std::string& name);
-    /// Waits for a process to end; its exit status, or nothing if it hasn't ended in time.
+    /// Waits for a process to end; returns its exit status, or nothing on a time-out.
     std::optional<int> wait_for_exit(const std::string& name, Duration timeout);
-    /// Starts a process again that has ended.
+    /// Restarts a process that has ended.
     void restart(const std::string& name);
 
-    /// GET or POST (with a body) of JSON; nothing if no JSON answer came.
+    /// GET or POST (with a body) of JSON; nothing if no JSON response was received.
     std::optional<nlohmann::json> get(const Endpoint& server, const std::string& target);
-    /// The text of a page; empty if none came.
+    /// Returns the text of a page; empty if no response was received.
     std::string get_text(const Endpoint& server, const std::string& target);
     std::optional<nlohmann::json> post(const Endpoint& server, const std::string& target,
                                        const nlohmann::json& body);
-    /// Sets faults of a stand-in.
+    /// Sets the faults of a test server.
     bool set_faults(const Endpoint& stand_in, const nlohmann::json& faults);
     /// Replaces the machine list; the named servers are marked as leaving.
     void publish_machine_list(const std::vector<std::string>& leaving = {});
 
-    /// Runs the operators' program; its exit status and output.
+    /// Runs the operators' program; returns its exit status and output.
     struct CommandResult {
         int status = -1;
         std::string output;
     };
     CommandResult run_table(const std::vector<std::string>& arguments);
     CommandResult run_program(const std::string& program, const std::vector<std::string>& arguments);
-    /// Starts an operators' command without waiting for it, under a name.
+    /// Starts an operators' command under a name, without waiting for it.
     void start_program(const std::string& name, const std::string& program,
                        const std::vector<std::string>& arguments);
 
-    /// Starts a load generator; `daemon_order` names the daemons it calls, nearest first (all by default).
+    /// Starts a load generator; `daemon_order` selects the daemons that it calls, nearest first (all by
+    /// default).
     void start_load(const std::string& name, const std::vector<std::string>& arguments,
                     const std::vector<std::size_t>& daemon_order = {});
     /// Waits for a load generator and returns its summary.
@@ -117,7 +117,7 @@
     };
     Executions executions(const std::string& kind);
 
-    /// Polls until `condition` holds; false if it doesn't in time.
+    /// Polls until `condition` holds; false if the time-out expires first.
     template <typename Condition>
     bool eventually(Duration timeout, Condition condition) {
         return poll_until(timeout, condition);
--- a/tests/support/request_load.cpp
+++ b/tests/support/request_load.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr unsigned kOk = 200;
-constexpr seconds kLongestEnd{10};
+constexpr seconds kMaxDrainTime{10};
 
 }  // namespace
 
@@ -49,7 +49,7 @@
 
 void RequestLoad::stop() {
     stopped_ = true;
-    poll_until(kLongestEnd, [this] { return fibers_ == 0; });
+    poll_until(kMaxDrainTime, [this] { return fibers_ == 0; });
 }
 
 void RequestLoad::run(milliseconds time, milliseconds gap) {
--- a/tests/support/request_load.hpp
+++ b/tests/support/request_load.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A steady load of requests at random machines of a fleet, and what became of each.
+/// A steady load of requests to random machines of a fleet, and the result of each request.
 #pragma once
 
 #include <functional>
@@ -11,15 +11,14 @@
 
 namespace anisehold::testing {
 
-/// One request of the load.
 struct LoadRequest {
     std::string id;
-    std::size_t machine = 0;  ///< Where its client sent it.
+    std::size_t machine = 0;  ///< The machine to which the client sent the request.
     TimePoint sent;
-    ClientAnswer answer;  ///< Status 0 until it has ended.
+    ClientAnswer answer;  ///< Status 0 until the request has ended.
 };
 
-/// Requests for one service. The fleet must outlast this.
+/// Sends requests for one service. The fleet must outlive this object.
 class RequestLoad {
   public:
     using Observer = std::function<void(const LoadRequest&)>;
@@ -34,13 +33,13 @@
     void start(milliseconds gap);
     /// Ends the load and waits until all requests have ended. Blocks the fiber.
     void stop();
-    /// Both, with `time` between them.
+    /// Starts the load, waits for `time`, and stops it.
     void run(milliseconds time, milliseconds gap);
 
-    /// The observer sees each answer as it comes.
+    /// Calls the observer for each response on arrival.
     void observe_answers(Observer observer) { observer_ = std::move(observer); }
     const std::vector<std::unique_ptr<LoadRequest>>& requests() const { return requests_; }
-    /// Share of the requests sent at `since` or later that were served.
+    /// Returns the share of the requests sent at `since` or later that were served.
     double served_share(TimePoint since) const;
 
   private:
@@ -52,7 +51,7 @@
     unsigned seed_;
     Observer observer_;
     std::vector<std::unique_ptr<LoadRequest>> requests_;
-    int fibers_ = 0;  ///< That refer to this.
+    int fibers_ = 0;  ///< Number of fibers that refer to this object.
     bool stopped_ = true;
 };
 
--- a/tests/support/sidecar_fleet.cpp
+++ b/tests/support/sidecar_fleet.cpp
@@ -110,7 +110,8 @@
             machine->child.wait();
         }
     }
-    // Fibers of the stand-ins run on until the process ends; what they refer to must stay.
+    // Fibers of the test servers run until the process ends, so the objects that they refer to must stay
+    // valid.
     for (auto& machine : machines_) {
         (void)machine->server.release();
     }
@@ -153,7 +154,8 @@
         process::child(std::string(ANISEHOLD_BINARY_DIR) + "/anisehold",
                        process::args(std::vector<std::string>{"sidecar", "--config", machine.settings_file}),
                        process::std_out > machine.log_file, process::std_err > machine.log_file + ".err",
-                       // A stand-in's socket that a child holds too would stay open when the stand-in ends.
+                       // A socket of a test server that a child process inherits would stay open after the
+                       // test server ends.
                        process::limit_handles);
 }
 
--- a/tests/support/sidecar_fleet.hpp
+++ b/tests/support/sidecar_fleet.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Sidecars as separate processes on loopback, with stand-ins for the platform's store, servers and clients
-/// in the test's own process.
+/// Sidecars as separate processes on loopback. The test's own process simulates the platform's store, the
+/// servers and the clients.
 #pragma once
 
 #include <boost/process/child.hpp>
@@ -17,19 +17,19 @@
 
 namespace anisehold::testing {
 
-/// Where the links of a linked machine are expected: connections to and from it go to `*_link`, and whoever
-/// serves that address passes them on.
+/// Addresses of a linked machine: connections to and from the machine go to `*_link`, and the test's
+/// forwarder at that address passes them on.
 struct MachineLinks {
-    Endpoint store_link;   ///< The daemon's way to the store.
-    Endpoint server_link;  ///< The daemon's way to its server.
+    Endpoint store_link;   ///< Connections of the daemon to the store.
+    Endpoint server_link;  ///< Connections of the daemon to its server.
     Endpoint server;
-    Endpoint hops_link;  ///< The peers' way to the daemon.
+    Endpoint hops_link;  ///< Connections of peers to the daemon.
     Endpoint hops;
-    Endpoint gossip_link;  ///< The same for datagrams.
+    Endpoint gossip_link;  ///< Datagrams of peers to the daemon.
     Endpoint gossip;
 };
 
-/// One machine: a sidecar and the server beside it.
+/// One machine: a sidecar and its local server.
 struct SidecarMachine {
     std::string name;
     std::string zone;
@@ -47,7 +47,7 @@
     boost::process::child child;
 };
 
-/// How a server of the fleet is made.
+/// Configuration of one machine of the fleet.
 struct SidecarMachinePlan {
     std::string zone;
     std::string service;
@@ -56,27 +56,26 @@
     milliseconds work{5};
     bool linked = false;  ///< All links of the machine run through addresses that the test serves itself.
     milliseconds heartbeat_interval{200};
-    bool keeps_instance = false;  ///< The server comes back under its id after a crash.
+    bool keeps_instance = false;  ///< The server keeps its id when it restarts after a crash.
 };
 
-/// What a client got.
+/// The response that a client received.
 struct ClientAnswer {
-    unsigned status = 0;  ///< 0: no answer.
+    unsigned status = 0;  ///< 0: no response.
     std::string body;
     net::HeaderFields fields;
 };
 
-/// A request of a client.
 struct ClientRequest {
     std::string method = "GET";
     std::string host;
     std::string target;
     std::string id;
     milliseconds time_left{2'000};
-    net::HeaderFields fields{};  ///< Further header lines.
+    net::HeaderFields fields{};  ///< Additional header fields.
 };
 
-/// The processes are ended by the destructor.
+/// The processes of the fleet. The destructor ends all of them.
 class SidecarFleet {
   public:
     SidecarFleet(std::uint16_t unshifted_port, const std::vector<SidecarMachinePlan>& plans);
@@ -84,42 +83,42 @@
     SidecarFleet(const SidecarFleet&) = delete;
     SidecarFleet& operator=(const SidecarFleet&) = delete;
 
-    /// Starts the store, the servers and the sidecars, and puts the configuration into the store.
+    /// Starts the store, the servers and the sidecars, and writes the configuration into the store.
     bool launch(const std::string& configuration);
-    /// The same, and waits until all sidecars are ready and reach every service.
+    /// Like `launch`, but also waits until all sidecars are ready and reach every service.
     bool start(const std::string& configuration);
     lab::PlatformStore& store() { return *store_; }
     const Endpoint& store_endpoint() const { return store_endpoint_; }
-    /// Where settings and logs lie.
+    /// Folder of the settings and logs.
     const std::string& folder() const { return folder_; }
     SidecarMachine& machine(std::size_t index) { return *machines_.at(index); }
     std::size_t size() const { return machines_.size(); }
 
     ClientAnswer send(std::size_t machine, const ClientRequest& request);
-    /// Sends over the connections that the client keeps to the machine.
+    /// Sends over the client's kept connections to the machine.
     ClientAnswer send_over(std::size_t machine, net::HttpClient& client, const ClientRequest& request);
     net::HttpClient client_of(std::size_t machine) const;
     bool is_ready(std::size_t machine);
-    /// Puts a configuration into the store.
+    /// Writes a configuration into the store.
     void configure(const std::string& configuration);
     void kill(std::size_t machine);
     void terminate(std::size_t machine);
-    /// Says that the settings file has changed.
+    /// Signals that the settings file has changed.
     void reload(std::size_t machine);
-    /// Stops the process where it stands, and lets it go on.
+    /// Pause the process with SIGSTOP, and resume it.
     void freeze(std::size_t machine);
     void thaw(std::size_t machine);
     bool is_running(std::size_t machine);
     void start_sidecar(std::size_t machine);
-    /// Waits for the process to end; its exit status, or nothing if it hasn't ended in time.
+    /// Waits for the process to end; returns its exit status, or nothing on a time-out.
     std::optional<int> wait_for_exit(std::size_t machine, Duration timeout);
     std::string log_of(std::size_t machine) const;
     std::string metrics_of(std::size_t machine);
-    /// What the address of the sidecar's metrics answers to a request; nothing if it isn't a 200.
+    /// Returns the response of the sidecar's metrics address to a request; nothing if the status is not 200.
     std::string fetch_from_admin_address(std::size_t machine, const std::string& method,
                                          const std::string& target);
 
-    /// Polls until `condition` holds; false if it doesn't in time.
+    /// Polls until `condition` holds; false if the time-out expires first.
     template <typename Condition>
     bool eventually(Duration timeout, Condition condition) {
         return poll_until(timeout, condition);
@@ -131,7 +130,7 @@
 
     Endpoint store_endpoint_;
     std::string folder_;
-    std::uint64_t probes_ = 0;  ///< Every request has an id of its own.
+    std::uint64_t probes_ = 0;  ///< Makes the id of each probe request unique.
     std::unique_ptr<lab::PlatformStore> store_;
     std::vector<std::unique_ptr<SidecarMachine>> machines_;
 };
