--- a/tests/integration/answer_proof_test.cpp
+++ b/tests/integration/answer_proof_test.cpp
@@ -14,7 +14,7 @@
     REQUIRE(fleet.start());
     const std::vector<std::string> patient{"--rate", "150", "--duration-ms", "9000"};
     fleet.start_load("patient", patient);
-    // These give up while their calls are under way, which cancels exchanges with the servers.
+    // These clients give up while their calls are in flight, which cancels exchanges with the servers.
     fleet.start_load("hasty", {"--rate", "150", "--duration-ms", "9000", "--timeout-ms", "30"});
     const auto faults_at = [&](std::size_t server, const nlohmann::json& faults) {
         for (const auto& service : {"registry", "calendar", "archive"}) {
@@ -41,7 +41,10 @@
     CHECK(hasty_result["failed"].get<double>() > 0.3 * hasty_result["sent"].get<double>());
 }
 
-TEST_CASE("outcomes: told not run means not run, whatever is cut, frozen or killed", "[proof][outcomes]") {
+TEST_CASE(
+    "outcomes: a request reported as not run has not run, with connections cut and processes paused or "
+    "killed",
+    "[proof][outcomes]") {
     auto options = proof_options("cooperative", 22'400);
     options.proxy_backends = true;
     Fleet fleet(options);
@@ -49,7 +52,7 @@
     fleet.start_load("bookings", {"--rate", "120", "--duration-ms", "9000", "--kind", "pay-dues"});
     const auto servers = fleet.backends_of("bookings");
     Fleet::pause(milliseconds(1'000));
-    // The answer is cut after its first bytes; nothing at all of it comes; the server is gone.
+    // The response is cut after its first bytes; no byte of the response arrives; the server is gone.
     fleet.set_faults(servers[0].proxy_control, {{"cut_after_bytes", 20}});
     Fleet::pause(milliseconds(1'000));
     fleet.set_faults(servers[0].proxy_control, {{"cut_after_bytes", 0}});
@@ -63,14 +66,14 @@
     fleet.set_faults(servers[2].proxy_control, {{"cut", false}});
     const auto result = fleet.finish_load("bookings");
     const auto executions = fleet.executions("pay-dues");
-    unsigned told_wrongly = 0;
+    unsigned wrongly_reported = 0;
     for (const auto& id : result["not_run_ids"]) {
         const auto found = executions.committed.find(id.get<std::string>());
-        told_wrongly += found != executions.committed.end() && found->second > 0 ? 1 : 0;
+        wrongly_reported += found != executions.committed.end() && found->second > 0 ? 1 : 0;
     }
     INFO(result["kinds"].dump());
-    CHECK(told_wrongly == 0);
-    // A payment whose answer was lost is not sent to another server.
+    CHECK(wrongly_reported == 0);
+    // A payment whose response was lost is not sent to another server.
     CHECK(largest(executions.started) == 1);
     CHECK(result["whole"].get<double>() > 0.3 * result["sent"].get<double>());
     CHECK(result["whole"] < result["sent"]);
--- a/tests/integration/bad_input_test.cpp
+++ b/tests/integration/bad_input_test.cpp
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-TEST_CASE("bad input of every kind gets a clear error, and the daemon serves on", "[bad-input]") {
+TEST_CASE("bad input of every kind gets a clear error, and the daemon continues to serve", "[bad-input]") {
     Fleet fleet(bad_input_fleet());
     REQUIRE(fleet.start());
     const auto& daemon = fleet.daemons().front();
@@ -98,7 +98,7 @@
         }));
     }
 
-    SECTION("a bad table in the store leaves the old one in force") {
+    SECTION("a bad table in the store leaves the old table in force") {
         const auto before = fleet.get(daemon.admin, "/status")->at("table_revision");
         fleet.post(fleet.store(), "/v3/kv/put",
                    {{"key", "L2FuaXNlaG9sZC90YWJsZQ=="}, {"value", "bm9uc2Vuc2U="}});
@@ -113,7 +113,7 @@
         CHECK(fleet.run_table({"set", "book.weight=0"}).status != 0);
     }
 
-    SECTION("a malformed machine list leaves the old one in use") {
+    SECTION("a malformed machine list leaves the old list in use") {
         fleet.post(fleet.machines(), "/lab/list", nlohmann::json::array({3}));
         Fleet::pause(milliseconds(1'000));
         CHECK(fleet.get(daemon.admin, "/status")->at("servers").size() == fleet.backends().size());
@@ -122,7 +122,7 @@
     CHECK(send_standing_check(daemon.call)->status == 200);
 }
 
-TEST_CASE("without store and peers calls get a clear refusal", "[bad-input]") {
+TEST_CASE("without store and peers, calls get a clear refusal", "[bad-input]") {
     FleetOptions options;
     options.base_port = 23'300;
     Fleet fleet(options);
@@ -139,7 +139,7 @@
     CHECK(response->fields.find("Content-Type") == "application/problem+json");
 }
 
-TEST_CASE("bad settings are refused with their place, and nothing starts", "[bad-input]") {
+TEST_CASE("bad settings are rejected with their position, and no daemon starts", "[bad-input]") {
     FleetOptions options;
     options.base_port = 23'400;
     Fleet fleet(options);
--- a/tests/integration/claims_proof_test.cpp
+++ b/tests/integration/claims_proof_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Three clients send the same keys at about the same instants, each through another zone's daemon first.
+/// Three clients send the same keys at about the same time, each to a daemon of a different zone first.
 void start_triplets(Fleet& fleet, const std::string& duration_ms) {
     for (std::size_t zone = 0; zone < 3; ++zone) {
         fleet.start_load("client-" + std::to_string(zone),
@@ -25,25 +25,20 @@
 
 }  // namespace
 
-// What was seen: a payment was begun at two servers, though its key was granted once.
+// Guards against a payment that is begun at two servers although its key was granted once.
 //
-// Order of events in one failing run: the daemon that had won the key was frozen for three seconds, as long
-// as the payment's time, and sent it to a server when it went on. The server worked for 72 ms, found no time
-// left for its own call, and answered 503 with "Anisehold-Not-Run". The daemon believed it and sent the
-// payment to a second server. In another run the payment's own call was refused with home-unreachable while
-// the daemon that accounts for it was frozen; the server said "not run" after 555 ms, and the payment ran at
-// the next server.
+// A server that had begun a payment reported "Anisehold-Not-Run" because its own nested call was refused or
+// had no time left, and the daemon took that report as a proof that the payment could go to another server
+// and that its key was free again. In one failing run the daemon that had won the key was paused for three
+// seconds, as long as the payment's time, and sent the payment afterwards without checking the deadline; the
+// server worked for 72 ms, had no time left for its nested call and responded with status 503 and not_run
+// yes. In another run the nested call was refused with home-unreachable while the daemon that accounts for it
+// was paused; the server reported "not run" after 555 ms, and the payment ran at the next server. The claims
+// were correct: all other attempts with the key got duplicate-in-progress.
 //
-// Cause: a server's "not run" was taken for a proof that the call may go to another server and that its key
-// is free again, also where the server had begun; and a call was sent without a look at whether its time was
-// up.
-//
-// Evidence: "started" of one request in the logs of two servers, the first followed by "answered" with status
-// 503, not_run yes and the body "nested call refused"; all other attempts with the key got
-// duplicate-in-progress, so the claims were as they should be. The test below brings the same about at once:
-// the servers of the nested call are slow, so that daemons refuse it. 315 of 443 keys were begun more than
-// once before the repair, one at twelve servers.
-TEST_CASE("claims: a server that began a request and then refuses it is the only one that begins it",
+// The test reproduces the fault directly: the servers of the nested call are slow, so that daemons refuse the
+// call. Before the fix 315 of 443 keys were begun more than once, one of them at twelve servers.
+TEST_CASE("claims: a request that a server began and then refused is begun by no other server",
           "[proof][claims]") {
     Fleet fleet(proof_options("cooperative", 22'550));
     REQUIRE(fleet.start());
--- a/tests/integration/http_client_test.cpp
+++ b/tests/integration/http_client_test.cpp
@@ -14,7 +14,7 @@
 std::uint16_t next_port = 22'950;
 constexpr unsigned kOk = 200;
 
-/// A server that counts its requests and answers each after a time.
+/// A server that counts its requests and responds to each after a delay.
 struct CountingServer {
     explicit CountingServer(milliseconds answers_after = milliseconds(0))
         : server(Fleet::loop().io(), {},
@@ -34,11 +34,12 @@
 
 }  // namespace
 
-// A daemon that was frozen past the deadline of a payment sent it on when it ran again, to a second server,
-// too: the time was looked at while an answer was waited for, not before a request was written. Seen as
-// "started" at two servers after the thaw, and "cancelled" at the second right after it.
-TEST_CASE("a request whose time is up isn't sent, and the connection stays usable", "[path]") {
-    // Its fibers outlast the test.
+// Guards against sending a request after its deadline: a daemon that was paused past the deadline of a
+// payment sent the payment after it resumed, also to a second server, because it checked the time only while
+// waiting for a response and not before writing a request. The logs showed "started" at two servers after the
+// pause, and "cancelled" at the second one directly after that.
+TEST_CASE("a request past its deadline is not sent, and the connection stays usable", "[path]") {
+    // The server's fibers outlive the test.
     auto& server = *new CountingServer;
     net::HttpClient client(Fleet::loop().io(), server.endpoint);
     auto request = net::make_request("POST", "/dues");
@@ -64,10 +65,9 @@
     CHECK(server.received == 2);
 }
 
-// Beast's time-out was handed on as it was, which compares equal to no std::errc: a sidecar took a peer at
-// which a request ran out of time for one that can't be reached, and looked whether the server beside it had
-// crashed.
-TEST_CASE("a request that runs out of time under way says so", "[path]") {
+// Guards against an unmapped Beast time-out, which compares equal to no std::errc: a sidecar treated a peer
+// at which a request timed out as unreachable, and checked whether its local server had crashed.
+TEST_CASE("a request that times out in flight reports a time-out", "[path]") {
     auto& server = *new CountingServer(seconds(1));
     net::HttpClient client(Fleet::loop().io(), server.endpoint);
     auto request = net::make_request("GET", "/slow");
--- a/tests/integration/main.cpp
+++ b/tests/integration/main.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Keeps the processes' output of each test case that failed, and says where it is.
+/// Keeps the processes' output of each failed test case, and prints its location.
 struct RunFolderListener : Catch::TestEventListenerBase {
     using TestEventListenerBase::TestEventListenerBase;
 
@@ -28,7 +28,7 @@
 CATCH_REGISTER_LISTENER(RunFolderListener)
 
 int main(int argc, char** argv) {
-    // The fibers of this thread need their loop before anything else.
+    // The fibers of this thread need their event loop first.
     anisehold::testing::Fleet::loop();
     const int status = Catch::Session().run(argc, argv);
     std::cout.flush();
--- a/tests/integration/path_test.cpp
+++ b/tests/integration/path_test.cpp
@@ -21,7 +21,7 @@
     auto response =
         client.exchange(request, {TimePoint::clock::now() + seconds(5), nullptr}, progress, error);
     if (response) {
-        // The rest is read while the client is there.
+        // The rest is read while the client is connected.
         response->body.prefix =
             net::read_whole(response->body, net::kMaxFetchedTextBytes, error).value_or("");
         response->body.rest.reset();
@@ -66,7 +66,7 @@
               lab::BodyCheck::kWhole);
     }
 
-    SECTION("an upload that breaks off is not carried out") {
+    SECTION("an incomplete upload is not executed") {
         raw_exchange(
             daemon.call,
             "POST /dues/half HTTP/1.1\r\nHost: bookings\r\nLab-Request: half\r\nIdempotency-Key: half\r\n"
@@ -77,7 +77,8 @@
         CHECK(send(daemon.call, next)->status == 200);
     }
 
-    SECTION("a repeated key gets the kept answer, through whichever daemon; a different request a conflict") {
+    SECTION(
+        "a repeated key gets the stored response through any daemon; a different request gets a conflict") {
         auto first = payment("key-1", "amount=1");
         const auto answer = send(daemon.call, first);
         REQUIRE(answer->status == 200);
@@ -93,7 +94,7 @@
         CHECK(fleet.executions("pay-dues").started["key-1"] == 1);
     }
 
-    SECTION("status and explain tell what happened") {
+    SECTION("status and explain show what happened") {
         auto request = payment("explained", "");
         const auto answer = send(daemon.call, request);
         const std::string id(answer->fields.find(header::kRequestId).value_or(""));
@@ -110,7 +111,7 @@
         CHECK(fleet.get_text(daemon.admin, "/metrics").find("anisehold_claims_total{result=\"won\"}") !=
               std::string::npos);
     }
-    SECTION("explain reads log files, given one by one or together, and counts failures in them") {
+    SECTION("explain reads log files, given separately or together, and counts the failures in them") {
         const std::string log = fleet.run_folder() + "/sidecar.log";
         std::ofstream(log) << R"({"time":"2026-12-02T10:11:12.345Z","level":"info","event":1601,)"
                            << R"("name":"ingress-call","member":"m","request_id":"r-1","route":"r",)"
@@ -121,15 +122,15 @@
                                                           {"explain", "--log", log, log, "r-1"},
                                                           {"explain", "--summary", log, log}};
         for (const auto& call : calls) {
-            const auto told = fleet.run_program("anisehold", call);
-            CHECK(told.status == 0);
-            CHECK(told.output.find("r-1") != std::string::npos);
+            const auto explanation = fleet.run_program("anisehold", call);
+            CHECK(explanation.status == 0);
+            CHECK(explanation.output.find("r-1") != std::string::npos);
         }
         CHECK(fleet.run_program("anisehold", {"explain", "--summary", log + "-missing"}).status == 2);
         CHECK(fleet.run_program("anisehold", {"explain", "--log", log}).status != 0);
     }
 
-    SECTION("the page shows the table, and accepts it with the token only") {
+    SECTION("the page shows the table, and accepts changes only with the token") {
         CHECK(fleet.get_text(daemon.admin, "/").find("<h1>The table</h1>") != std::string::npos);
         const auto table = fleet.get(daemon.admin, "/table");
         const auto csv = fleet.run_table({"export"}).output;
--- a/tests/integration/proof.hpp
+++ b/tests/integration/proof.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What all proofs share: a proof is run with all mechanisms, or, to show that it can fail, without one.
+/// Common parts of the proofs: a proof runs with all mechanisms, or without one of them to show that the
+/// proof can fail.
 #pragma once
 
 #include <cstdlib>
@@ -10,13 +11,13 @@
 
 namespace anisehold::testing {
 
-/// Mechanisms to switch off in this run, from the environment variable ANISEHOLD_WITHOUT.
+/// Mechanisms to disable in this run, from the environment variable ANISEHOLD_WITHOUT.
 inline std::vector<std::string> mechanisms_off() {
     const char* name = std::getenv("ANISEHOLD_WITHOUT");
     return name == nullptr || *name == '\0' ? std::vector<std::string>{} : std::vector<std::string>{name};
 }
 
-/// Options of a proof's fleet.
+/// Returns the options of a proof's fleet.
 inline FleetOptions proof_options(const std::string& deployment, std::uint16_t base_port) {
     FleetOptions options;
     options.deployment = deployment;
@@ -25,13 +26,13 @@
     return options;
 }
 
-/// The largest count in a map of counts.
+/// Returns the largest count in a map of counts.
 inline unsigned largest(const std::map<std::string, unsigned>& counts) {
-    unsigned most = 0;
+    unsigned largest_count = 0;
     for (const auto& [name, count] : counts) {
-        most = std::max(most, count);
+        largest_count = std::max(largest_count, count);
     }
-    return most;
+    return largest_count;
 }
 
 }  // namespace anisehold::testing
--- a/tests/integration/raw_socket.hpp
+++ b/tests/integration/raw_socket.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Sends bytes as they are, for tests of bad input.
+/// Sends raw bytes, for tests of bad input.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace anisehold::testing {
 
-/// Sends `bytes` over TCP and returns what comes back until the peer closes or falls silent for a second.
-/// With `stay_open` the sending side isn't closed, as by a slow sender.
+/// Sends `bytes` over TCP and returns the bytes received until the peer closes or sends nothing for a second.
+/// With `stay_open` the sending side is not closed, as with a slow sender.
 std::string raw_exchange(const Endpoint& server, const std::string& bytes, bool stay_open = false);
 
 /// Sends one datagram.
--- a/tests/integration/retry_proof_test.cpp
+++ b/tests/integration/retry_proof_test.cpp
@@ -37,7 +37,7 @@
     CHECK(largest(executions.started) <= 1 + kAllowance);
 }
 
-TEST_CASE("retries: the bound holds when a daemon is killed and answers are cut on the way",
+TEST_CASE("retries: the bound holds when a daemon is killed and responses are cut in transit",
           "[proof][retries]") {
     auto options = retrying_fleet(22'100);
     options.proxy_backends = true;
--- a/tests/integration/shedding_proof_test.cpp
+++ b/tests/integration/shedding_proof_test.cpp
@@ -9,8 +9,8 @@
     "shedding: a deep service slows threefold while demand doubles and clients retry hard; important "
     "requests go on and bulk is shed",
     "[proof][shedding]") {
-    // 18 places and 20 ms make 900 calls a second, 300 when slowed. Important demand is 108 a second at the
-    // doubled rate, bulk demand 252: together more than the slowed service can do.
+    // 18 slots and 20 ms per call serve 900 calls a second, 300 when slowed. Important demand is 108 a second
+    // at the doubled rate, bulk demand 252: together more than the capacity of the slowed service.
     Fleet fleet(proof_options("shedding", 22'200));
     REQUIRE(fleet.start());
     fleet.start_load("warm-up", {"--rate", "180", "--duration-ms", "2000"});
@@ -18,7 +18,7 @@
     for (const auto& place : fleet.backends_of("deep")) {
         fleet.set_faults(place.listen, {{"slow_factor", 3}, {"health_lies", true}});
     }
-    // The stated settling time: results count from two seconds after the cause.
+    // The specified settling time: results count from two seconds after the cause.
     fleet.start_load("settling", {"--rate", "360", "--duration-ms", "2000", "--retries", "3", "--hard",
                                   "--timeout-ms", "2000"});
     fleet.finish_load("settling");
--- a/tests/integration/sidecar_test.cpp
+++ b/tests/integration/sidecar_test.cpp
@@ -1,4 +1,5 @@
-// The platform path with real sidecar processes; the store, the servers and the clients are stand-ins.
+// The platform path with real sidecar processes; the test process simulates the store, the servers and the
+// clients.
 
 #include <catch2/catch.hpp>
 #include <future>
@@ -31,7 +32,7 @@
     return configuration_text(version, {"front", "back"}, {"pay"});
 }
 
-/// Calls to the store that cost the whole price.
+/// Calls to the store that are charged at the full price.
 std::uint64_t full_calls(SidecarFleet& fleet) {
     return fleet.store().calls() - fleet.store().stale_reads();
 }
@@ -46,7 +47,7 @@
     return runs;
 }
 
-/// Sends `count` requests, in turn through all machines, and counts the answers by status.
+/// Sends `count` requests to all machines in turn, and counts the responses by status.
 std::map<unsigned, unsigned> send_many(SidecarFleet& fleet, const ClientRequest& pattern, int count) {
     std::map<unsigned, unsigned> statuses;
     for (int index = 0; index < count; ++index) {
@@ -59,7 +60,7 @@
 
 }  // namespace
 
-TEST_CASE("a request goes down the chain and its answer comes back unchanged", "[sidecar]") {
+TEST_CASE("a request passes through the chain of services and its response returns unchanged", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     const auto answer = fleet.send(0, {"GET", "front.example", "/front/a?b=c", "one"});
@@ -77,7 +78,7 @@
         seconds(2), [&] { return fleet.log_of(0).find("\"request_id\":\"many-0\"") != std::string::npos; }));
 }
 
-TEST_CASE("servers are told where a request began", "[sidecar]") {
+TEST_CASE("servers receive the origin of a request", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     REQUIRE(fleet.send(4, {"GET", "back.example", "/back/", "from-pay"}).status == 200);
@@ -91,7 +92,8 @@
     CHECK(callers == std::set<std::string>{"pay"});
 }
 
-TEST_CASE("an at-most-once request whose answer is lost runs once and is never promised away", "[sidecar]") {
+TEST_CASE("an at-most-once request whose response is lost runs once and is never reported as not run",
+          "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     for (const std::size_t index : {4U, 5U}) {
@@ -106,7 +108,7 @@
     }
 }
 
-TEST_CASE("an at-most-once request that a server declined may run at the other one, once", "[sidecar]") {
+TEST_CASE("an at-most-once request that a server declined may run once at another server", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     fleet.machine(4).server->faults.declines = true;
@@ -123,10 +125,11 @@
     CHECK(served > 10);
 }
 
-TEST_CASE("spoiled answers are not passed on", "[sidecar]") {
+TEST_CASE("corrupted responses are not forwarded", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
-    // Both servers of the service: of a good and a bad one, the bad one would soon be passed over.
+    // Affects both servers of the service: with one good and one bad server, the bad one would soon be
+    // avoided.
     const auto set_faults = [&](const lab::PlatformServerFaults& faults) {
         fleet.machine(2).server->faults = faults;
         fleet.machine(3).server->faults = faults;
@@ -146,7 +149,7 @@
     CHECK(answer.fields.find("Server-Signature"));
 }
 
-TEST_CASE("a server that answers nothing is passed by for what may be repeated", "[sidecar]") {
+TEST_CASE("repeatable requests avoid a server that does not respond", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     fleet.pause(seconds(2));
@@ -155,7 +158,7 @@
     CHECK(statuses[200] >= 15);
 }
 
-TEST_CASE("a server that drains gets nothing after it was acknowledged", "[sidecar]") {
+TEST_CASE("a draining server gets no request after the acknowledgement", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     REQUIRE(fleet.machine(2).server->drain());
@@ -164,7 +167,7 @@
     CHECK(fleet.machine(2).server->arrivals() == before);
 }
 
-TEST_CASE("a new configuration is in force everywhere, and an older one never again", "[sidecar]") {
+TEST_CASE("a new configuration is applied everywhere, and an older one is never applied again", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(configuration_text(5, {"front", "back", "pay"}, {})));
     fleet.configure(configuration_text(9, {"back", "front"}, {}));
@@ -187,7 +190,7 @@
     }));
 }
 
-TEST_CASE("calls go on while the store is down, and a restarted sidecar learns all from its peers",
+TEST_CASE("calls continue while the store is down, and a restarted sidecar gets its state from peers",
           "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(3)));
@@ -199,7 +202,7 @@
     CHECK(fleet.eventually(seconds(5), [&] {
         return fleet.send(0, {"GET", "front.example", "/front/", "after"}).status == 200;
     }));
-    // Log lines are written in groups, a moment later.
+    // Log lines are written in batches, with a delay.
     CHECK(fleet.eventually(seconds(2),
                            [&] { return fleet.log_of(0).find("\"from\":\"peer\"") != std::string::npos; }));
 }
@@ -228,17 +231,17 @@
     CHECK(send_many(fleet, {"GET", "front.example", "/front/", "found"}, 30)[200] == 30);
 }
 
-TEST_CASE("every sidecar registers, and a calm fleet leaves the store alone", "[sidecar]") {
+TEST_CASE("every sidecar registers, and a calm fleet does not load the store", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     CHECK(fleet.store().keys_below("anisehold/members/") == fleet.size());
-    // Watchers are appointed a moment after the start.
+    // Watchers are appointed shortly after the start.
     fleet.pause(seconds(2));
     const auto full_before = full_calls(fleet);
     const auto stale_before = fleet.store().stale_reads();
     fleet.pause(seconds(3));
-    // A calm fleet leaves the store alone: no polling, but for the cheap listings of two watchers a zone,
-    // each of two pages.
+    // A calm fleet does not poll the store, except for the cheap listings of two watchers per zone, each of
+    // two pages.
     CHECK(full_calls(fleet) - full_before <= 2);
     CHECK(fleet.store().stale_reads() - stale_before <= 4 * 3 * 2);
 }
@@ -264,7 +267,7 @@
     CHECK(full_calls(fleet) - calls <= 4);
 }
 
-TEST_CASE("when both watchers of a zone are lost, another daemon watches in their stead", "[sidecar]") {
+TEST_CASE("when both watchers of a zone are lost, another daemon takes over", "[sidecar]") {
     const std::vector<SidecarMachinePlan> one_zone(5, {"z1", "back", {}, 16, milliseconds(5)});
     SidecarFleet fleet(next_base_port(), one_zone);
     REQUIRE(fleet.start(configuration_text(1, {"back"}, {})));
@@ -292,7 +295,7 @@
     CHECK(fleet.eventually(seconds(1), [&] { return !fleet.is_ready(2); }));
     unsigned whole = 0;
     for (int request = 0; request < 60; ++request) {
-        // Through the others: the machine that stops gets no new clients.
+        // Sent to the other machines, since a stopping machine gets no new clients.
         const std::size_t through = request % 2 == 0 ? 0 : 1;
         const auto id = "stop-" + std::to_string(request);
         whole += fleet.send(through, {"GET", "front.example", "/front/", id}).status == 200 ? 1 : 0;
@@ -302,7 +305,7 @@
     CHECK(fleet.wait_for_exit(2, seconds(4)) == 0);
 }
 
-TEST_CASE("a request that comes in the last moments of a stop is answered, or never run", "[sidecar]") {
+TEST_CASE("a request that arrives at the end of a stop is answered, or never runs", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), {{"z1", "back", {}, 64, milliseconds(60)}, {"z1", "other", {}}});
     REQUIRE(fleet.start(configuration_text(1, {"back", "other"}, {})));
     fleet.terminate(1);
@@ -318,7 +321,7 @@
                 served = fleet.send(1, {"GET", "back.example", "/back/", id}).status != 0;
                 answered += served ? 1 : 0;
                 lost += !served && runs_of(fleet, id) > 0 ? 1 : 0;
-                // Callers that turn away one after the other leave quiet moments.
+                // Callers that are refused one after the other leave idle moments.
                 fleet.pause(milliseconds(17 * (client + 1)));
             }
             ++ended;
@@ -333,14 +336,14 @@
     SidecarFleet fleet(next_base_port(), {{"z1", "back", {}, 2, milliseconds(100)}, {"z1", "other", {}}});
     REQUIRE(fleet.start(configuration_text(1, {"back", "other"}, {})));
     constexpr int clients = 12;
-    constexpr int most_tries = 20;
+    constexpr int max_attempts = 20;
     int served = 0;
     int ended = 0;
     unsigned refused_and_run = 0;
     for (int client = 0; client < clients; ++client) {
         net::EventLoop::spawn([&, client] {
             ClientAnswer answer;
-            for (int number = 0; number < most_tries && answer.status != 200; ++number) {
+            for (int number = 0; number < max_attempts && answer.status != 200; ++number) {
                 const auto id = "full-" + std::to_string(client) + "-" + std::to_string(number);
                 answer = fleet.send(static_cast<std::size_t>(client) % 2,
                                     {"GET", "back.example", "/back/", id, milliseconds(2'000)});
@@ -356,12 +359,13 @@
     }
     CHECK(fleet.eventually(seconds(20), [&] { return ended == clients; }));
     CHECK(fleet.machine(0).server->most_running() <= 2);
-    // Those that are refused for lack of slots are served when they come back as told.
+    // Requests that are refused for lack of slots are served when they are retried at the given time.
     CHECK(served == clients);
     CHECK(refused_and_run == 0);
 }
 
-TEST_CASE("bad input of clients, servers and peers gets a clear answer or a closed connection", "[sidecar]") {
+TEST_CASE("bad input from clients, servers and peers gets a clear response or a closed connection",
+          "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     const auto& calls = fleet.machine(0).calls;
@@ -397,7 +401,7 @@
     CHECK(fleet.send(0, {"GET", "front.example", "/front/", "still-served"}).status == 200);
 }
 
-TEST_CASE("a request whose caller left before a slow daemon read it never comes to a server", "[sidecar]") {
+TEST_CASE("a request whose caller left before a slow daemon read it never reaches a server", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     const auto& calls = fleet.machine(2).calls;
@@ -410,7 +414,7 @@
         return "GET /back/ HTTP/1.1\r\nHost: back.example\r\nRequest-Id: " + id +
                "\r\nDeadline-Milliseconds: 5000\r\n" + more + "\r\n";
     };
-    // The requests and the ends of their connections wait in the sockets of a daemon that stands still.
+    // The requests and the ends of their connections wait in the sockets of a paused daemon.
     fleet.freeze(2);
     raw_exchange(hops, request("left-the-gate", hop));
     raw_exchange(calls, request("left-the-ingress", ""));
@@ -419,21 +423,21 @@
     fleet.pause(milliseconds(500));
     CHECK(runs_of(fleet, "left-the-gate") == 0);
     CHECK(runs_of(fleet, "left-the-ingress") == 0);
-    // The same requests of a caller that stays are run.
+    // The same requests are run if the caller stays connected.
     auto exchange =
         std::async(std::launch::async, [&] { return raw_exchange(hops, request("stays", hop), true); });
     CHECK(fleet.eventually(seconds(3), [&] { return runs_of(fleet, "stays") == 1; }));
     exchange.wait();
 }
 
-TEST_CASE("requests sent one behind the other are answered in their order", "[sidecar]") {
+TEST_CASE("pipelined requests are answered in order", "[sidecar]") {
     SidecarFleet fleet(next_base_port(), chain());
     REQUIRE(fleet.start(chain_configuration(1)));
     const auto request = [](const std::string& service, const std::string& id) {
         return "GET /" + service + "/" + id + " HTTP/1.1\r\nHost: " + service +
                ".example\r\nRequest-Id: " + id + "\r\nDeadline-Milliseconds: 2000\r\n\r\n";
     };
-    // Of the three the first takes longest: it makes calls.
+    // The first of the three requests takes longest, since it makes nested calls.
     const std::string bytes = request("front", "p1") + request("back", "p2") + request("back", "p3");
     auto exchange =
         std::async(std::launch::async, [&] { return raw_exchange(fleet.machine(0).calls, bytes, true); });
--- a/tests/integration/table_proof_test.cpp
+++ b/tests/integration/table_proof_test.cpp
@@ -23,8 +23,10 @@
 
 }  // namespace
 
-TEST_CASE("table: two operators at once, then a lost answer: both changes are in force everywhere",
-          "[proof][table]") {
+TEST_CASE(
+    "table: after concurrent changes by two operators and a lost response, both changes are in force "
+    "everywhere",
+    "[proof][table]") {
     Fleet fleet(proof_options("cooperative", 22'900));
     REQUIRE(fleet.start());
     const auto before = store_revision_of_table(fleet);
@@ -68,11 +70,11 @@
     CHECK(fleet.eventually(seconds(10), [&] { return revision_at(fleet, restarted) == in_force; }));
     fleet.start_load("clients", {"--rate", "50", "--duration-ms", "2000"}, {2});
     const auto result = fleet.finish_load("clients");
-    // Bookings need the new holder view, which waits for the store; all else goes on.
+    // Bookings need the new holder view, which waits for the store; all other calls continue.
     CHECK(result["kinds"]["standing-check"]["whole"] == result["kinds"]["standing-check"]["sent"]);
 }
 
-TEST_CASE("table: stale store answers and a thawed daemon never bring an older table back",
+TEST_CASE("table: stale store responses and a resumed daemon never restore an older table",
           "[proof][table]") {
     Fleet fleet(proof_options("cooperative", 23'100));
     REQUIRE(fleet.start());
@@ -83,7 +85,7 @@
     REQUIRE(fleet.run_table({"set", "book.weight=8"}).status == 0);
     CHECK(fleet.eventually(seconds(5), [&] { return revision_at(fleet, daemons[0]) >= before + 2; }));
     fleet.set_faults(fleet.store(), {{"stale_by", 2}});
-    // The watch breaks, so that daemons ask the store again and get stale answers.
+    // The watch breaks, so that daemons ask the store again and get stale responses.
     fleet.set_faults(fleet.store(), {{"outage", true}});
     Fleet::pause(milliseconds(2'500));
     fleet.set_faults(fleet.store(), {{"outage", false}});
--- a/tests/integration/tenants_test.cpp
+++ b/tests/integration/tenants_test.cpp
@@ -1,4 +1,5 @@
-// Tenants, keys and quotas with real sidecar processes; the store, the servers and the clients are stand-ins.
+// Tenants, keys and quotas with real sidecar processes; the test process simulates the store, the servers and
+// the clients.
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
@@ -12,7 +13,7 @@
 namespace {
 
 std::uint16_t next_base_port() {
-    static std::uint16_t port = 24'000;  // Up to 24'900; no other tests use these.
+    static std::uint16_t port = 24'000;  // Up to 24'900; no other tests use these ports.
     port = static_cast<std::uint16_t>(port + 100);
     return port;
 }
@@ -72,7 +73,7 @@
     return keys;
 }
 
-/// Launches the fleet and waits until a keyed request is served at every machine.
+/// Launches the fleet and waits until a request with a key is served at every machine.
 bool start_with_key(SidecarFleet& fleet, const std::string& text, const std::string& key) {
     if (!fleet.launch(text)) {
         return false;
@@ -92,7 +93,7 @@
 
 }  // namespace
 
-TEST_CASE("a request is served for its key's tenant, and the key stays with the daemons", "[tenants]") {
+TEST_CASE("a request is served for its key's tenant, and the key is not sent to servers", "[tenants]") {
     SidecarFleet fleet(next_base_port(), machines());
     REQUIRE(start_with_key(fleet, configuration(1, {{"blue", {{"secret-b"}}}, {"green", {{"secret-g"}}}}),
                            "secret-b"));
@@ -116,21 +117,21 @@
     CHECK(fleet.log_of(0).find("\"tenant\":\"blue\"") != std::string::npos);
 }
 
-TEST_CASE("a key that was taken away isn't served after the revocation time, with the store silent or not",
+TEST_CASE("a revoked key is not accepted after the revocation time, with or without access to the store",
           "[tenants]") {
     SidecarFleet fleet(next_base_port(), machines());
     const TenantPlan both{{"secret-1", "secret-2"}};
     REQUIRE(start_with_key(fleet, configuration(1, {{"blue", both}}), "secret-1"));
-    SECTION("in touch") {
+    SECTION("connected") {
         fleet.configure(configuration(2, {{"blue", {{"secret-2"}}}}));
         CHECK(fleet.eventually(seconds(2),
                                [&] { return fleet.send(1, keyed("a", "secret-1")).status == 401; }));
         CHECK(fleet.send(1, keyed("b", "secret-2")).status == 200);
     }
-    SECTION("the store falls silent, and no daemon hears of the change") {
+    SECTION("the store stops responding, and no daemon learns of the change") {
         fleet.store().faults.is_silent = true;
         fleet.configure(configuration(2, {{"blue", {{"secret-2"}}}}));
-        // Still owed for a while: an outage of the store alone isn't noticed by callers.
+        // Keys must still be accepted for a while: callers do not notice an outage of the store alone.
         CHECK(fleet.send(0, keyed("c", "secret-2")).status == 200);
         fleet.pause(fleet.machine(0).key_revocation);
         for (std::size_t index = 0; index < fleet.size(); ++index) {
@@ -146,7 +147,7 @@
                                [&] { return fleet.send(0, keyed("f", "secret-2")).status == 200; }));
         CHECK(fleet.send(0, keyed("g", "secret-1")).status == 401);
     }
-    SECTION("a daemon is paused over the change") {
+    SECTION("a daemon is paused during the change") {
         fleet.freeze(0);
         fleet.configure(configuration(2, {{"blue", {{"secret-2"}}}}));
         fleet.pause(fleet.machine(0).key_revocation + milliseconds(200));
@@ -157,7 +158,7 @@
     }
 }
 
-TEST_CASE("a quota holds over all daemons, and leaves other tenants alone", "[tenants]") {
+TEST_CASE("a quota applies to all daemons together, and does not affect other tenants", "[tenants]") {
     SidecarFleet fleet(next_base_port(), machines());
     REQUIRE(start_with_key(
         fleet, configuration(1, {{"blue", {{"secret-b"}, 20, 20}}, {"green", {{"secret-g"}}}}), "secret-g"));
@@ -174,10 +175,10 @@
             retry_after = std::stod(std::string(answer.fields.find("Retry-After").value_or("0")));
         }
     }
-    const double taken_s = std::chrono::duration<double>(TimePoint::clock::now() - began).count();
+    const double elapsed_s = std::chrono::duration<double>(TimePoint::clock::now() - began).count();
     CHECK(statuses[200] + statuses[429] == 160);
     CHECK(statuses[200] >= 20);
-    CHECK(statuses[200] <= 20 + 20 * taken_s + 2);
+    CHECK(statuses[200] <= 20 + 20 * elapsed_s + 2);
     CHECK(retry_after > 0);
     CHECK(retry_after < 6);
     CHECK(fleet.send(0, keyed("other", "secret-g")).status == 200);
@@ -199,7 +200,8 @@
         CHECK(fleet.eventually(
             seconds(2), [&] { return fleet.send(0, keyed("k-" + name, "secret-" + name)).status == 200; }));
     }
-    // The next owner grants the whole rate, not the part that it grants while the first may be there.
+    // Waits until the next owner grants the whole rate, not only the part that it grants while the first
+    // owner may be running.
     fleet.pause(seconds(1));
     for (int index = 0; index < 8; ++index) {
         const auto name = std::to_string(index);
@@ -212,7 +214,7 @@
     }
 }
 
-TEST_CASE("a quota holds after all daemons were killed", "[tenants]") {
+TEST_CASE("a quota applies after all daemons were killed", "[tenants]") {
     SidecarFleet fleet(next_base_port(), machines());
     REQUIRE(start_with_key(
         fleet, configuration(1, {{"blue", {{"secret-b"}, 20, 20}}, {"green", {{"secret-g"}}}}), "secret-g"));
@@ -231,12 +233,12 @@
         served += answer.status == 200 ? 1 : 0;
         ++sent;
     }
-    const double taken_s = std::chrono::duration<double>(TimePoint::clock::now() - began).count();
-    CHECK(served <= 1.1 * 20 * taken_s + 20);
+    const double elapsed_s = std::chrono::duration<double>(TimePoint::clock::now() - began).count();
+    CHECK(served <= 1.1 * 20 * elapsed_s + 20);
     CHECK(served >= 20);
 }
 
-TEST_CASE("a part of a split that has no server refuses its share", "[tenants]") {
+TEST_CASE("a part of a split without a server refuses its share", "[tenants]") {
     SidecarFleet fleet(next_base_port(), machines());
     auto document = json::parse(configuration_text(1, {"front", "back", "gone"}, {}));
     auto& route = document["routes"]["route-back"];
