--- a/src/net/fiber_signal.hpp
+++ b/src/net/fiber_signal.hpp
@@ -13,21 +13,21 @@
 /// Remembers that it was given until the next wait.
 class FiberSignal {
   public:
-    void give() {
-        given_ = true;
+    void notify() {
+        notified_ = true;
         condition_.notify_all();
     }
     /// Waits until the signal is given or `deadline` has come, and takes the signal; true if it was given.
     bool wait_until(TimePoint deadline) {
         std::unique_lock lock(mutex_);
-        const bool was_given =
-            condition_.wait_until(lock, on_steady_clock(deadline), [this] { return given_; });
-        given_ = false;
-        return was_given;
+        const bool was_notified =
+            condition_.wait_until(lock, on_steady_clock(deadline), [this] { return notified_; });
+        notified_ = false;
+        return was_notified;
     }
 
   private:
-    bool given_ = false;
+    bool notified_ = false;
     boost::fibers::mutex mutex_;
     boost::fibers::condition_variable condition_;
 };
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -101,7 +101,7 @@
     response.status = parser.get().result_int();
     response.fields = copy_end_to_end_fields(parser.get());
     response.connection_close = !parser.keep_alive();
-    connection.longest_idle = announced_idle_time(parser.get()["Keep-Alive"]);
+    connection.max_idle = announced_idle_time(parser.get()["Keep-Alive"]);
     const auto& echo = options.expected_echo;
     if (echo && response.fields.find(echo->name) != echo->value) {
         return make_error_code(ErrorKind::kBackendFailed);
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -49,7 +49,7 @@
     /// A header line that the answer must echo; an answer without it belongs to another request.
     std::optional<HeaderField> expected_echo = std::nullopt;
     /// Connections that were idle for longer aren't used for this exchange.
-    Duration longest_idle = Duration::max();
+    Duration max_idle = Duration::max();
 };
 
 /// A pool of connections to one server. A connection goes back to the pool only after a whole, clean
--- a/src/net/http_connection_pool.cpp
+++ b/src/net/http_connection_pool.cpp
@@ -46,7 +46,7 @@
 std::unique_ptr<HttpConnection> HttpConnectionPool::acquire(const ExchangeOptions& options,
                                                             ExchangeProgress& progress,
                                                             std::error_code& error) {
-    auto connection = take_idle(TimePoint::clock::now(), options.longest_idle);
+    auto connection = take_idle(TimePoint::clock::now(), options.max_idle);
     progress.connection_reused = connection != nullptr;
     if (connection) {
         progress.idle_for = TimePoint::clock::now() - connection->idle_since;
@@ -55,13 +55,12 @@
     return connect(options.deadline, error);
 }
 
-std::unique_ptr<HttpConnection> HttpConnectionPool::take_idle(TimePoint now, Duration longest_idle) {
+std::unique_ptr<HttpConnection> HttpConnectionPool::take_idle(TimePoint now, Duration max_idle) {
     while (!idle_.empty()) {
         // The most recently used first: the least likely to have been closed.
         auto connection = std::move(idle_.back());
         idle_.pop_back();
-        const auto allowed =
-            std::min({longest_idle, connection->longest_idle, Duration(limits_.idle_timeout_ms)});
+        const auto allowed = std::min({max_idle, connection->max_idle, Duration(limits_.idle_timeout_ms)});
         const bool expired = now - connection->idle_since > allowed;
         if (limits_.reuse_unclean || (!expired && !is_stale(*connection))) {
             return connection;
--- a/src/net/http_connection_pool.hpp
+++ b/src/net/http_connection_pool.hpp
@@ -20,7 +20,7 @@
     TimedStream stream;
     beast::flat_buffer buffer;
     TimePoint idle_since;
-    Duration longest_idle = Duration::max();  ///< As the server announced it.
+    Duration max_idle = Duration::max();  ///< As the server announced it.
 };
 
 /// For one thread. Shared with the bodies that are still being read, which may outlast the client.
@@ -49,7 +49,7 @@
     const HttpPoolLimits& limits() const { return limits_; }
 
   private:
-    std::unique_ptr<HttpConnection> take_idle(TimePoint now, Duration longest_idle);
+    std::unique_ptr<HttpConnection> take_idle(TimePoint now, Duration max_idle);
     std::unique_ptr<HttpConnection> connect(TimePoint deadline, std::error_code& error);
 
     boost::asio::io_context& io_;
--- a/src/sidecar/call_attempts.cpp
+++ b/src/sidecar/call_attempts.cpp
@@ -97,7 +97,7 @@
     budget_.on_request(call.received, call.service, flight.inherited_retry);
     flight.streamed = !request.body.whole();
     flight.board->request = flight.streamed ? std::move(request) : copy_of(request);
-    const net::CancelSubscription subscription(&cancel, [board = flight.board] { board->changed.give(); });
+    const net::CancelSubscription subscription(&cancel, [board = flight.board] { board->changed.notify(); });
     AttemptStep step = AttemptStep::kWait;
     bool going_on = true;
     while (going_on) {
@@ -216,7 +216,7 @@
     chooser_.on_ended(
         now, attempt.server.server.instance,
         {attempt.cancel.cancelled(), is_server_failure(attempt.answer), now - attempt.started, slow_after});
-    board->changed.give();
+    board->changed.notify();
 }
 
 void CallAttempts::take_outcomes(IncomingCall& call, Flight& flight) {
--- a/src/sidecar/crash_exchange.cpp
+++ b/src/sidecar/crash_exchange.cpp
@@ -83,7 +83,7 @@
     set_metrics(TimePoint::clock::now());
     // At once: the request may already be on its way from its caller to another machine.
     report_to_all();
-    changed_.give();
+    changed_.notify();
 }
 
 void CrashExchange::on_reported_crashes(const RequestIdentity& request, unsigned crashes) {
@@ -104,7 +104,7 @@
     if (crashes >= suspects::crashesToCondemn) {
         net::EventLoop::spawn([this, digest = request.digest] { remove_verdict(digest); });
     }
-    changed_.give();
+    changed_.notify();
 }
 
 bool CrashExchange::lift(const RequestDigest& digest) {
@@ -113,7 +113,7 @@
     }
     log_event(Event::kRequestCleared, {{"digest", digest.text()}, {"by", "operator"}});
     net::EventLoop::spawn([this, digest] { remove_verdict(digest); });
-    changed_.give();
+    changed_.notify();
     return true;
 }
 
--- a/src/sidecar/overload_tracker.cpp
+++ b/src/sidecar/overload_tracker.cpp
@@ -7,7 +7,7 @@
     const bool was_calm = !is_under_pressure();
     overload::recordCallEnded(limit_, service, end.refused);
     if (end.refused && was_calm && reports_onset()) {
-        pressure_rose_.give();
+        pressure_rose_.notify();
     }
     const auto now = TimePoint::clock::now();
     if (end.refused) {
@@ -39,7 +39,7 @@
     const bool was_calm = !is_under_pressure();
     overload::recordPeerReport(limit_, now, peer, pressures);
     if (was_calm && is_under_pressure() && reports_onset()) {
-        pressure_rose_.give();
+        pressure_rose_.notify();
     }
 }
 
--- a/src/sidecar/server_exchange.cpp
+++ b/src/sidecar/server_exchange.cpp
@@ -27,10 +27,10 @@
     net::ExchangeOptions options{run.deadline + kAnswerSlack, run.cancel};
     options.expected_echo = context.dialect.echoed_field(run.request_id);
     if (context.has(Mechanism::kIdleConnectionLimit)) {
-        options.longest_idle = connection::currentMaxIdle(server.idle_limit, now);
+        options.max_idle = connection::currentMaxIdle(server.idle_limit, now);
     }
     if (run.call.at_most_once) {
-        options.longest_idle = std::min<Duration>(options.longest_idle, kFreshIdle);
+        options.max_idle = std::min<Duration>(options.max_idle, kFreshIdle);
     }
     return options;
 }
