--- a/tests/unit/platform/dialect_test.cpp
+++ b/tests/unit/platform/dialect_test.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("the id and the time left of a request are read") {
+TEST_CASE("the id and the remaining time of a request are parsed") {
     auto request = net::make_request("GET", "/a");
     request.fields.add("request-id", "9c41");
     request.fields.add("Deadline-Milliseconds", "1500");
@@ -28,7 +28,7 @@
     CHECK_FALSE(Dialect().read_client_call(net::make_request("GET", "/a")).time_left);
 }
 
-TEST_CASE("what the client claims of itself is replaced") {
+TEST_CASE("header fields set by the client are overwritten") {
     auto request = net::make_request("GET", "/a");
     request.fields.add("Caller-Service", "forged");
     request.fields.add("Expected-Instance", "forged");
@@ -38,7 +38,7 @@
     CHECK(request.fields.find("Deadline-Milliseconds") == "900");
 }
 
-TEST_CASE("only a whole answer of a server is passed on") {
+TEST_CASE("only a complete response of a server is forwarded") {
     CHECK(Dialect().classify_response(answer(200, true)) == ResponseClass::kGenuine);
     CHECK(Dialect().classify_response(answer(500, true)) == ResponseClass::kGenuine);
     CHECK(Dialect().classify_response(answer(200, false)) == ResponseClass::kUntrusted);
@@ -47,18 +47,18 @@
     CHECK(Dialect().classify_response(encoded) == ResponseClass::kUntrusted);
 }
 
-TEST_CASE("only the server's own word says that it ran nothing") {
+TEST_CASE("only the server's own declaration shows that the request has not run") {
     auto declared = answer(503, false);
     declared.fields.set("Not-Executed", "1");
     CHECK(Dialect().classify_response(declared) == ResponseClass::kNotRun);
     CHECK(Dialect().classify_response(answer(421, false)) == ResponseClass::kNotRun);
-    // Passed on, each of these would promise the client that the request has not run.
+    // If forwarded, each of these statuses would tell the client that the request has not run.
     for (const unsigned status : {408U, 429U, 503U}) {
         CHECK(Dialect().classify_response(answer(status, true)) == ResponseClass::kUntrusted);
     }
 }
 
-TEST_CASE("heartbeats and leaves are read") {
+TEST_CASE("heartbeats and leaves are parsed") {
     const std::string body =
         R"({"address":"10.128.0.9:8080","information":{"service":"s","version":"v1","zone":"z","slots":87},)"
         R"("status":{"state":"draining","sequence":4,"coldRemaining":"250ms"},"more":1})";
@@ -78,7 +78,7 @@
     CHECK(problem.empty());
 }
 
-TEST_CASE("a malformed heartbeat is refused with its place") {
+TEST_CASE("a malformed heartbeat is rejected with the path of the field") {
     for (const auto* body : {"", "[]", "{}", R"({"address":"x","information":{},"status":{}})",
                              R"({"address":5,"information":{"service":1},"status":7})"}) {
         std::string problem;
@@ -87,7 +87,7 @@
     }
 }
 
-TEST_CASE("a configuration is read") {
+TEST_CASE("a configuration is parsed") {
     const std::string text =
         R"({"version":"r7","routes":{"one":{"host":"a.example","pathPrefix":"/x/","kind":"unsafe",)"
         R"("timeout":"1200ms","targetLatency":"1.5s","priority":3,"service":"s1","retryAttempts":2},)"
@@ -113,7 +113,7 @@
     CHECK(two->max_servers == 1);
 }
 
-TEST_CASE("a malformed configuration is refused with its place") {
+TEST_CASE("a malformed configuration is rejected with the path of the field") {
     for (const auto* text :
          {"", "{", "[]", R"({"version":"r7"})", R"({"version":"7","routes":{},"services":{}})",
           R"({"version":"r7x","routes":{},"services":{}})",
@@ -124,13 +124,13 @@
     }
 }
 
-TEST_CASE("the time to come back is told in seconds with fractions") {
+TEST_CASE("the retry-after time is written in seconds with a fraction") {
     auto response = net::make_response(503, "text/plain", "");
     Dialect().write_retry_after(response, milliseconds(350));
     CHECK(response.fields.find("Retry-After") == "0.350");
 }
 
-TEST_CASE("a server is well only if it says so and names itself") {
+TEST_CASE("a server is healthy only if it reports success and its instance id") {
     auto well = answer(200, false);
     CHECK_FALSE(Dialect().read_health(well));
     well.fields.set("Instance-Id", "i-1");
@@ -158,7 +158,7 @@
 
 }  // namespace
 
-TEST_CASE("a caller's key is read in every shape that the scheme has") {
+TEST_CASE("a caller's key is parsed in every form that the scheme allows") {
     for (const auto* line : {"Bearer k1", "bearer k1", "BEARER  k1 ", " Bearer\tk1"}) {
         const auto credentials = credentials_of({line});
         REQUIRE(credentials.key);
@@ -174,7 +174,7 @@
     CHECK(credentials_of({"Bearer k1", "Bearer k1"}).isMalformed);
 }
 
-TEST_CASE("the server is told the tenant and never shown the key") {
+TEST_CASE("the server receives the tenant's name and never the key") {
     auto request = net::make_request("GET", "/a");
     request.fields.add("Authorization", "Bearer k1");
     request.fields.add("authorization", "Bearer k2");
@@ -195,7 +195,7 @@
 
 }  // namespace
 
-TEST_CASE("tenants, their keys and quotas are read") {
+TEST_CASE("tenants, their keys and quotas are parsed") {
     const auto reading = Dialect().read_configuration(with_tenants(
         R"({"blue":{"apiKeys":["k1","k2"],"priority":1,"requestsPerS":39.5,"burst":40},"green":{"apiKeys":[]}})"));
     REQUIRE(reading.configuration);
@@ -207,7 +207,7 @@
     CHECK(tenancy::holderOf(keys, tenancy::ApiKey("k3")) == nullptr);
 }
 
-TEST_CASE("what is wrong with tenants is told without a key") {
+TEST_CASE("an error in a tenant's definition doesn't disclose a key") {
     for (const auto* tenants :
          {R"({"blue":{"apiKeys":["secret-1"]},"green":{"apiKeys":["secret-1"]}})", R"({"blue":{}})",
           R"({"blue":{"apiKeys":["secret-1",""]}})", R"({"blue":{"apiKeys":["secret-1",7]}})",
@@ -220,7 +220,7 @@
     }
 }
 
-TEST_CASE("a configuration that isn't JSON is told without what stands in it") {
+TEST_CASE("a JSON syntax error in a configuration doesn't disclose its content") {
     const auto whole = with_tenants(R"({"blue":{"apiKeys":["secret-1"]}})");
     for (std::size_t length = 1; length < whole.size(); ++length) {
         const auto problem = Dialect().read_configuration(whole.substr(0, length)).problem;
@@ -242,7 +242,7 @@
 
 }  // namespace
 
-TEST_CASE("a server's rate limit is read in thousandths of a request a second") {
+TEST_CASE("a server's rate limit is parsed in thousandths of a request per second") {
     CHECK_FALSE(notice_of({})->rate_limit);
     CHECK(notice_of({{"server-limit", "11.5"}})->rate_limit == RequestRate(11'500));
     CHECK(notice_of({{"Server-Limit", "0"}})->rate_limit == RequestRate(0));
@@ -250,7 +250,7 @@
     CHECK(notice_of({{"Server-Limit", "900000000000"}})->rate_limit == RequestRate(4'294'967'295));
 }
 
-TEST_CASE("a rate limit that can't be read is neither a limit nor the end of one") {
+TEST_CASE("a malformed rate limit neither sets nor ends a limit") {
     for (const char* text : {"", "many", "-1", "-0", "+5", "inf", "nan", "1e999", "1e3", "0x10",
                              "11.5 a second", "11,5", "11;12"}) {
         const auto notice = notice_of({{"Server-Limit", text}});
@@ -266,7 +266,7 @@
     }
 }
 
-TEST_CASE("only the server that was meant says something of itself") {
+TEST_CASE("statements of a server are accepted only from the expected instance") {
     CHECK(notice_of({{"Server-Leaving", "1"}})->is_leaving);
     CHECK_FALSE(notice_of({{"Server-Leaving", "0"}})->is_leaving);
     CHECK_FALSE(notice_of({{"Server-Limit", "5"}})->is_leaving);
