--- a/src/net/asio_scheduler.cpp
+++ b/src/net/asio_scheduler.cpp
@@ -8,7 +8,7 @@
 namespace anisehold::net {
 namespace {
 
-/// While fibers stay ready, the sockets are polled once in this many switches.
+/// While fibers are ready, the sockets are polled once per this many context switches.
 constexpr unsigned kSwitchesPerPoll = 8;
 
 }  // namespace
@@ -29,8 +29,8 @@
     }
     boost::fibers::context* picked = &ready_.front();
     ready_.pop_front();
-    // The poll above may have woken the very fiber that is being suspended; it can't be resumed from
-    // itself. The dispatcher fiber is always queued then, so another one is there to take.
+    // The poll above may have woken the fiber that is being suspended, and a fiber can't be resumed from
+    // itself. The dispatcher fiber is always queued in this case, so there is another fiber to pick.
     if (picked == boost::fibers::context::active() && !ready_.empty()) {
         boost::fibers::context* other = &ready_.front();
         ready_.pop_front();
--- a/src/net/asio_scheduler.hpp
+++ b/src/net/asio_scheduler.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A round-robin fiber scheduler that waits inside an Asio context. Owns the queue of ready fibers; the
-/// context is the event loop's.
+/// A round-robin fiber scheduler that waits inside an Asio context. Owns the queue of ready fibers; the event
+/// loop owns the context.
 #pragma once
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -10,7 +10,7 @@
 
 namespace anisehold::net {
 
-/// Runs ready fibers in turn; when none is ready, runs the `io_context` until an event or a deadline.
+/// Runs ready fibers in turn. If none is ready, runs the `io_context` until an event or a deadline.
 class AsioScheduler final : public boost::fibers::algo::algorithm {
   public:
     explicit AsioScheduler(boost::asio::io_context& io);
--- a/src/net/await_io.hpp
+++ b/src/net/await_io.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Blocks the calling fiber, not the thread, until an Asio operation completes or its time is over.
+/// Blocks the calling fiber, not the thread, until an Asio operation completes or times out.
 #pragma once
 
 #include <boost/fiber/context.hpp>
@@ -10,18 +10,17 @@
 
 namespace anisehold::net {
 
-/// What an Asio completion handler was given.
+/// Arguments of an Asio completion handler.
 struct IoResult {
     boost::system::error_code error;
     std::size_t bytes = 0;
-    bool timed_out = false;  ///< The deadline came first; the operation was cancelled.
+    bool timed_out = false;  ///< The deadline was reached first, and the operation was canceled.
 };
 
-/// Calls `start(handler)`, which must begin one Asio operation with that handler, and waits for it. At
-/// `deadline` it calls `cancel()`, which must make the operation complete soon, and waits for that.
-/// The deadline is the fiber's own: a timer of Asio's for each operation would cost system calls to arm it
-/// and a completion to take it back. Handlers only run inside the scheduler of this thread, so no lock is
-/// needed.
+/// Calls `start(handler)`, which must begin one Asio operation with that handler, and waits for its
+/// completion. At `deadline`, calls `cancel()`, which must make the operation complete soon, and waits for
+/// that. The deadline uses the fiber's own timer: an Asio timer per operation would cost system calls to set
+/// and a completion to cancel. Handlers run only inside the scheduler of this thread, so no lock is needed.
 template <typename Start, typename Cancel>
 IoResult await_io_until(TimePoint deadline, Start start, Cancel cancel) {
     struct State {
@@ -34,7 +33,7 @@
         state.result.error = error;
         state.result.bytes = bytes;
         state.done = true;
-        // A fiber whose deadline has just come is queued already.
+        // A fiber whose deadline was just reached is already queued.
         if (state.suspended && !state.waiter->ready_is_linked()) {
             boost::fibers::context::active()->schedule(state.waiter);
         }
@@ -55,7 +54,7 @@
     return state.result;
 }
 
-/// The same without a deadline.
+/// Like `await_io_until`, without a deadline.
 template <typename Start>
 IoResult await_io(Start start) {
     return await_io_until(TimePoint::max(), start, [] {});
--- a/src/net/beast_support.hpp
+++ b/src/net/beast_support.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the Beast-based server and client share: which header lines are forwarded, and reading and writing of
-/// messages over a `TimedStream`. Included only inside net/.
+/// Code shared by the Beast-based server and client: selection of the header fields that are forwarded, and
+/// reading and writing of messages over a `TimedStream`. Included only inside net/.
 #pragma once
 
 #include <utility>
@@ -20,13 +20,13 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-/// HTTP/1.1 as Beast counts versions.
+/// HTTP/1.1 in Beast's version numbers.
 inline constexpr unsigned kHttp11 = 11;
 
-/// Bytes moved at a time when a body is streamed. Chosen, not measured.
+/// Size of one chunk of a streamed body.
 inline constexpr std::size_t kStreamChunkBytes = 16 * 1024;
 
-/// Whether a header line belongs to one connection and is never forwarded.
+/// Whether a header field applies to a single connection and is never forwarded.
 inline bool is_hop_by_hop(beast::string_view name) {
     static constexpr std::array<const char*, 10> names{
         "connection", "keep-alive",     "proxy-connection",   "transfer-encoding",   "te",
@@ -35,7 +35,7 @@
                        [&](const char* known) { return beast::iequals(known, name); });
 }
 
-/// Copies the end-to-end lines out of Beast's container.
+/// Copies the end-to-end header fields from Beast's container.
 template <typename Fields>
 HeaderFields copy_end_to_end_fields(const Fields& source) {
     HeaderFields fields;
@@ -48,18 +48,18 @@
     return fields;
 }
 
-/// Buffer for a message as most are, in bytes: its header and body come with one system call.
+/// Size of the read buffer: header and body of most messages arrive with one system call.
 inline constexpr std::size_t kReadBytes = 8 * 1024;
 
-/// Reads a header.
+/// Reads a message header.
 template <typename Parser>
 boost::system::error_code read_header(TimedStream& stream, beast::flat_buffer& buffer, Parser& parser) {
     buffer.reserve(kReadBytes);
     return stream.complete_read([&](auto& ec) { http::read_header(stream.socket(), buffer, parser, ec); });
 }
 
-/// Reads body bytes into `data` through a parser over `buffer_body`. Returns the count; 0 without an
-/// error at the end of the message.
+/// Reads body bytes into `data` through a parser over `buffer_body`. Returns the count; 0 without an error at
+/// the end of the message.
 template <typename Parser>
 std::size_t read_body_bytes(TimedStream& stream, beast::flat_buffer& buffer, Parser& parser, char* data,
                             std::size_t size, boost::system::error_code& error) {
@@ -79,7 +79,7 @@
     return filled;
 }
 
-/// Fills `prefix` with up to `limit` bytes of body; stops early at the end of the message.
+/// Appends body bytes to `prefix` up to a size of `limit`; stops early at the end of the message.
 template <typename Parser>
 void read_body_prefix(TimedStream& stream, beast::flat_buffer& buffer, Parser& parser, std::string& prefix,
                       std::size_t limit, boost::system::error_code& error) {
@@ -91,9 +91,9 @@
     }
 }
 
-/// Writes a message whose head is in `message`, with `body`. For streamed bodies each pause is bounded by
-/// `pause`; zero keeps the deadline that the stream has. On an error of the body's source, `source_error` is
-/// set and the message is left cut.
+/// Writes `message` with `body`. For streamed bodies `pause` bounds each wait; zero keeps the current
+/// deadline of the stream. On an error of the body's source, sets `source_error` and leaves the message
+/// incomplete.
 template <bool IsRequest>
 void write_message(TimedStream& stream, http::message<IsRequest, http::buffer_body>& message, Body& body,
                    Duration pause, boost::system::error_code& error, std::error_code& source_error) {
@@ -102,7 +102,7 @@
     } else {
         message.content_length(body.length.value_or(body.prefix.size()));
     }
-    // An empty buffer would be sent as the chunk that ends the body.
+    // An empty buffer would be sent as the chunk that terminates the body.
     message.body().data = body.prefix.empty() ? nullptr : body.prefix.data();
     message.body().size = body.prefix.size();
     message.body().more = !body.whole();
@@ -129,7 +129,7 @@
             stream.writes_expire_after(pause);
         }
         write_rest();
-        // Both sockets may stay ready for long: the other fibers get their turn.
+        // Both sockets may stay ready for a long time, so other fibers get a turn.
         boost::this_fiber::yield();
     }
 }
--- a/src/net/connect_probe.hpp
+++ b/src/net/connect_probe.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds out whether anybody listens at an address, by a connection that carries nothing.
+/// Checks whether a process listens at an address, with a connection that carries no data.
 #pragma once
 
 #include "protocol/endpoint.hpp"
@@ -11,8 +11,9 @@
 
 namespace anisehold::net {
 
-/// Whether the machine at `address` answers that nobody listens there. False if a connection comes up, which
-/// is closed at once, and if there is no answer before `deadline`. Blocks the fiber.
+/// Returns true if the machine at `address` refuses the connection because no process listens there. Returns
+/// false if the connection succeeds (it is closed at once), and if there is no reply before `deadline`.
+/// Blocks the fiber.
 bool refuses_connections(boost::asio::io_context& io, const Endpoint& address, TimePoint deadline);
 
 }  // namespace anisehold::net
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -15,10 +15,9 @@
 namespace anisehold::net {
 namespace {
 
-/// Beast's parsers and a JSON parser run on fiber stacks; untouched pages cost no memory. Chosen, not
-/// measured.
+/// Beast's parsers and a JSON parser run on fiber stacks; untouched pages use no memory.
 constexpr std::size_t kStackBytes = 256 * 1024;
-/// Stacks that are taken from the system at a time. Chosen, not measured.
+/// Number of stacks allocated from the system at a time.
 constexpr std::size_t kStacksPerBlock = 8;
 
 }  // namespace
@@ -29,7 +28,7 @@
 }
 
 void EventLoop::spawn(std::function<void()> body) {
-    // Most fibers live for one request: their stacks are used again. Never freed, like the loop itself.
+    // Most fibers live for one request, so stacks are reused. Never freed, like the loop itself.
     static auto* stacks = new boost::fibers::pooled_fixedsize_stack(kStackBytes, kStacksPerBlock);
     boost::fibers::fiber(boost::fibers::launch::post, std::allocator_arg, *stacks, std::move(body)).detach();
 }
--- a/src/net/fiber_event.hpp
+++ b/src/net/fiber_event.hpp
@@ -10,7 +10,7 @@
 
 namespace anisehold::net {
 
-/// Set once; all waiters, present and later, go on.
+/// An event that is set once, and then releases all current and later waiters.
 class FiberEvent {
   public:
     void set() {
@@ -18,7 +18,7 @@
         condition_.notify_all();
     }
     bool is_set() const { return set_; }
-    /// Waits until the event is set or `deadline` has come; true if it is set.
+    /// Waits until the event is set or `deadline` is reached; returns true if the event is set.
     bool wait_until(TimePoint deadline) {
         std::unique_lock lock(mutex_);
         return condition_.wait_until(lock, on_steady_clock(deadline), [this] { return set_; });
--- a/src/net/fiber_signal.hpp
+++ b/src/net/fiber_signal.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A signal that can be given many times, for one waiting fiber of the same thread.
+/// A signal that can be sent repeatedly, for one waiting fiber of the same thread.
 #pragma once
 
 #include <boost/fiber/condition_variable.hpp>
@@ -10,14 +10,15 @@
 
 namespace anisehold::net {
 
-/// Remembers that it was given until the next wait.
+/// An auto-reset signal: stays set until the next wait.
 class FiberSignal {
   public:
     void notify() {
         notified_ = true;
         condition_.notify_all();
     }
-    /// Waits until the signal is given or `deadline` has come, and takes the signal; true if it was given.
+    /// Waits until the signal is sent or `deadline` is reached, and resets the signal; returns true if the
+    /// signal was sent.
     bool wait_until(TimePoint deadline) {
         std::unique_lock lock(mutex_);
         const bool was_notified =
--- a/src/net/frame_transport.cpp
+++ b/src/net/frame_transport.cpp
@@ -21,16 +21,16 @@
 using Stream = boost::beast::tcp_stream;
 using LengthBytes = std::array<unsigned char, 4>;
 
-// Chosen, not measured, as all numbers here.
-/// How long a server keeps an idle connection.
-constexpr seconds kServerIdle{60};
-/// Longest time for writing a reply.
-constexpr seconds kReplyTime{5};
-/// How long a client keeps an idle connection: it must drop it before the server does.
-constexpr seconds kClientIdle{30};
-/// Most idle connections that a client keeps to one server.
-constexpr std::size_t kIdlePerServer = 4;
-/// Least time between two searches for expired idle connections.
+/// Idle timeout of a server's connections.
+constexpr seconds kServerIdleTimeout{60};
+/// Timeout of writing a reply.
+constexpr seconds kWriteTimeout{5};
+/// Idle timeout of a client's connections; shorter than the server's, so that the client closes a connection
+/// first.
+constexpr seconds kClientIdleTimeout{30};
+/// Maximum idle connections of a client to one server.
+constexpr std::size_t kMaxIdlePerServer = 4;
+/// Minimum time between two removals of expired idle connections.
 constexpr seconds kReapPeriod{10};
 
 boost::system::error_code write_frame(Stream& stream, std::string_view frame) {
@@ -43,7 +43,7 @@
         .error;
 }
 
-boost::system::error_code read_frame(Stream& stream, std::size_t largest, std::string& frame) {
+boost::system::error_code read_frame(Stream& stream, std::size_t max_frame, std::string& frame) {
     LengthBytes length{};
     auto result = await_io([&](auto handler) {
         boost::asio::async_read(stream, boost::asio::buffer(length), std::move(handler));
@@ -54,7 +54,7 @@
     const std::size_t size = (static_cast<std::size_t>(length[0]) << 24U) |
                              (static_cast<std::size_t>(length[1]) << 16U) |
                              (static_cast<std::size_t>(length[2]) << 8U) | length[3];
-    if (size > largest) {
+    if (size > max_frame) {
         return boost::system::errc::make_error_code(boost::system::errc::message_size);
     }
     frame.resize(size);
@@ -67,8 +67,8 @@
 }  // namespace
 
 struct FrameServer::State : std::enable_shared_from_this<FrameServer::State> {
-    State(boost::asio::io_context& io, std::size_t largest, Handler handler)
-        : acceptor(io), largest(largest), handler(std::move(handler)) {}
+    State(boost::asio::io_context& io, std::size_t max_frame, Handler handler)
+        : acceptor(io), max_frame(max_frame), handler(std::move(handler)) {}
 
     void accept_all() {
         while (acceptor.is_open()) {
@@ -87,23 +87,23 @@
         bool open = true;
         while (open) {
             std::string frame;
-            stream.expires_after(kServerIdle);
-            if (read_frame(stream, largest, frame)) {
+            stream.expires_after(kServerIdleTimeout);
+            if (read_frame(stream, max_frame, frame)) {
                 return;
             }
             const auto reply = handler(frame);
-            stream.expires_after(kReplyTime);
+            stream.expires_after(kWriteTimeout);
             open = reply && !write_frame(stream, *reply);
         }
     }
 
     Tcp::acceptor acceptor;
-    std::size_t largest;
+    std::size_t max_frame;
     Handler handler;
 };
 
-FrameServer::FrameServer(boost::asio::io_context& io, std::size_t largest_frame, Handler handler)
-    : state_(std::make_shared<State>(io, largest_frame, std::move(handler))) {}
+FrameServer::FrameServer(boost::asio::io_context& io, std::size_t max_frame_bytes, Handler handler)
+    : state_(std::make_shared<State>(io, max_frame_bytes, std::move(handler))) {}
 
 FrameServer::~FrameServer() {
     stop();
@@ -128,17 +128,17 @@
         TimePoint since;
     };
 
-    State(boost::asio::io_context& io, std::size_t largest) : io(io), largest(largest) {}
+    State(boost::asio::io_context& io, std::size_t max_frame) : io(io), max_frame(max_frame) {}
 
-    /// Closes connections that have been idle for too long, to whatever server: over days a daemon talks to
-    /// every member once.
-    void reap(TimePoint now) {
+    /// Closes expired idle connections to all servers; without this, a daemon that contacts every member over
+    /// days would accumulate connections.
+    void remove_expired(TimePoint now) {
         if (now - last_reap < kReapPeriod) {
             return;
         }
         last_reap = now;
         for (auto& [server, pool] : idle) {
-            std::erase_if(pool, [&](const Idle& entry) { return now - entry.since >= kClientIdle; });
+            std::erase_if(pool, [&](const Idle& entry) { return now - entry.since >= kClientIdleTimeout; });
         }
         std::erase_if(idle, [](const auto& entry) { return entry.second.empty(); });
     }
@@ -148,7 +148,7 @@
         while (!pool.empty()) {
             Idle entry = std::move(pool.back());
             pool.pop_back();
-            if (TimePoint::clock::now() - entry.since < kClientIdle) {
+            if (TimePoint::clock::now() - entry.since < kClientIdleTimeout) {
                 return std::move(entry.stream);
             }
         }
@@ -171,10 +171,10 @@
         return stream;
     }
 
-    void give_back(const Endpoint& server, std::unique_ptr<Stream> stream) {
+    void release(const Endpoint& server, std::unique_ptr<Stream> stream) {
         auto& pool = idle[server];
         stream->expires_never();
-        if (pool.size() < kIdlePerServer) {
+        if (pool.size() < kMaxIdlePerServer) {
             pool.push_back({std::move(stream), TimePoint::clock::now()});
         }
     }
@@ -185,19 +185,19 @@
         error = write_frame(stream, frame);
         std::string reply;
         if (!error) {
-            error = read_frame(stream, largest, reply);
+            error = read_frame(stream, max_frame, reply);
         }
         return error ? std::nullopt : std::optional(std::move(reply));
     }
 
     boost::asio::io_context& io;
-    std::size_t largest;
+    std::size_t max_frame;
     std::map<Endpoint, std::deque<Idle>> idle;
     TimePoint last_reap;
 };
 
-FrameClient::FrameClient(boost::asio::io_context& io, std::size_t largest_frame)
-    : state_(std::make_shared<State>(io, largest_frame)) {}
+FrameClient::FrameClient(boost::asio::io_context& io, std::size_t max_frame_bytes)
+    : state_(std::make_shared<State>(io, max_frame_bytes)) {}
 
 FrameClient::~FrameClient() {
     state_->idle.clear();
@@ -206,11 +206,11 @@
 std::optional<std::string> FrameClient::exchange(const Endpoint& server, std::string_view frame,
                                                  TimePoint deadline, std::error_code& error) {
     const auto state = state_;
-    state->reap(TimePoint::clock::now());
+    state->remove_expired(TimePoint::clock::now());
     boost::system::error_code io_error;
     if (auto kept = state->take_idle(server)) {
         if (auto reply = state->try_exchange(*kept, frame, deadline, io_error)) {
-            state->give_back(server, std::move(kept));
+            state->release(server, std::move(kept));
             return reply;
         }
     }
@@ -225,7 +225,7 @@
         reply = state->try_exchange(*stream, frame, deadline, io_error);
     }
     if (reply) {
-        state->give_back(server, std::move(stream));
+        state->release(server, std::move(stream));
     }
     error = io_error;
     return reply;
--- a/src/net/frame_transport.hpp
+++ b/src/net/frame_transport.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Length-prefixed frames over TCP: one request, one reply, on kept connections. What a frame holds is the
-/// caller's; larger ones than agreed are refused unread.
+/// Length-prefixed frames over TCP: one request, one reply, on kept connections. The caller defines the
+/// content of frames; frames above the maximum size are rejected unread.
 #pragma once
 
 #include <functional>
@@ -19,20 +19,21 @@
 
 namespace anisehold::net {
 
-/// Answers frames. A frame is four bytes of length, most significant first, and that many bytes.
+/// Replies to frames. A frame consists of a four-byte length, most significant byte first, and that many
+/// bytes.
 class FrameServer {
   public:
-    /// Returns the reply, or nothing to have the connection closed (the frame was not acceptable).
+    /// Returns the reply, or nothing if the frame is invalid and the connection must be closed.
     using Handler = std::function<std::optional<std::string>(std::string_view frame)>;
 
-    FrameServer(boost::asio::io_context& io, std::size_t largest_frame, Handler handler);
+    FrameServer(boost::asio::io_context& io, std::size_t max_frame_bytes, Handler handler);
     ~FrameServer();
     FrameServer(const FrameServer&) = delete;
     FrameServer& operator=(const FrameServer&) = delete;
 
-    /// Binds and starts accepting; on an error, the system's, nothing is listening.
+    /// Binds and starts accepting. On failure, returns the system's error and doesn't listen.
     std::error_code start(const Endpoint& endpoint);
-    /// Accepts no new connection.
+    /// Stops accepting connections.
     void stop();
 
   private:
@@ -43,14 +44,14 @@
 /// Sends frames to any server over pooled connections.
 class FrameClient {
   public:
-    FrameClient(boost::asio::io_context& io, std::size_t largest_frame);
+    FrameClient(boost::asio::io_context& io, std::size_t max_frame_bytes);
     ~FrameClient();
     FrameClient(const FrameClient&) = delete;
     FrameClient& operator=(const FrameClient&) = delete;
 
     /// Sends a frame and blocks the fiber until the reply. A request must be safe to send twice: if a kept
-    /// connection proves to be closed, it is sent once more over a new one. Nothing and the system's error,
-    /// or `timed_out`, if no reply came by `deadline`.
+    /// connection turns out to be closed, the request is sent again over a new one. Returns nothing, and the
+    /// system's error or `timed_out`, if no reply arrived by `deadline`.
     std::optional<std::string> exchange(const Endpoint& server, std::string_view frame, TimePoint deadline,
                                         std::error_code& error);
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -11,12 +11,11 @@
 
 using ResponseParser = http::response_parser<http::buffer_body>;
 
-/// Share of the announced idle time after which a connection isn't used any more: the server counts from an
-/// earlier moment, and the next request is on its way for a time.
+/// Fraction of the announced idle time after which a connection isn't reused: the server counts from an
+/// earlier moment, and the next request takes time to arrive.
 constexpr double kKeepAliveShare = 0.7;
 
-/// How long the server keeps an idle connection: `Keep-Alive: timeout=SECONDS`. Without a bound if it doesn't
-/// say so.
+/// Parses the server's idle timeout from `Keep-Alive: timeout=SECONDS`; returns the maximum if there is none.
 Duration announced_idle_time(beast::string_view keep_alive) {
     constexpr beast::string_view name = "timeout=";
     const auto at = keep_alive.find(name);
@@ -31,7 +30,7 @@
     return std::chrono::duration_cast<Duration>(seconds(timeout_s) * kKeepAliveShare);
 }
 
-/// Reads the unbuffered rest of an answer and then returns the connection.
+/// Reads the unbuffered remainder of a response body, and then returns the connection to the pool.
 class ResponseBodyReader final : public BodyReader {
   public:
     ResponseBodyReader(HttpConnectionLease lease, std::unique_ptr<ResponseParser> parser, Duration pause)
@@ -81,7 +80,7 @@
 
 std::unique_ptr<ResponseParser> parser_for(const HttpRequest& request) {
     auto parser = std::make_unique<ResponseParser>();
-    // Beast 1.74 takes "no limit" for a limit of zero where the length is declared.
+    // Beast 1.74 treats "no limit" as a limit of zero if the length is declared.
     parser->body_limit(std::numeric_limits<std::uint64_t>::max());
     if (request.method == "HEAD") {
         parser->skip(true);
@@ -89,7 +88,8 @@
     return parser;
 }
 
-/// Reads the answer's header into `response`. An answer without the expected echo belongs to another request.
+/// Reads the response header into `response`. A response without the expected echo belongs to another
+/// request.
 std::error_code receive_header(HttpConnection& connection, ResponseParser& parser,
                                const ExchangeOptions& options, ExchangeProgress& progress,
                                HttpResponse& response) {
@@ -109,14 +109,15 @@
     return {};
 }
 
-/// The error that callers compare with: Beast's own time-out equals no `std::errc`, and a request that ran
-/// out of time would be taken for a broken connection.
-std::error_code without_library(const std::error_code& failure) {
+/// Translates Beast's timeout error, which equals no `std::errc`; otherwise callers would take a timed-out
+/// request for a broken connection.
+std::error_code translate_timeout(const std::error_code& failure) {
     static const std::error_code beast_timeout = boost::system::error_code(beast::error::timeout);
     return failure == beast_timeout ? std::make_error_code(std::errc::timed_out) : failure;
 }
 
-/// Reads up to `buffered_bytes` of the body. A longer one keeps the connection until it has been read.
+/// Reads up to `buffered_bytes` of the body. A longer body keeps the connection until all of it has been
+/// read.
 std::error_code receive_body(HttpConnectionLease& lease, std::unique_ptr<ResponseParser> parser,
                              std::size_t buffered_bytes, Duration longest_pause, Body& body) {
     boost::system::error_code error;
@@ -170,8 +171,8 @@
         return std::nullopt;
     }
     if (TimePoint::clock::now() >= options.deadline) {
-        // Nobody would wait for the answer, and what was sent might be run: a process that stood still finds
-        // the time of its waiting calls up when it goes on.
+        // No caller would wait for the response, and a request sent now might still run. This occurs when a
+        // process was suspended: on resumption, the deadlines of its waiting calls have passed.
         lease.finish(true);
         error = std::make_error_code(std::errc::timed_out);
         return std::nullopt;
@@ -192,7 +193,7 @@
                                response.body);
     }
     if (failure) {
-        error = without_library(failure);
+        error = translate_timeout(failure);
         return std::nullopt;
     }
     return response;
--- a/src/net/http_connection_pool.cpp
+++ b/src/net/http_connection_pool.cpp
@@ -10,9 +10,9 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-/// Makes the system give up a connection whose peer has fallen silent: after bytes that aren't acknowledged,
-/// and, if the limits say so, also while nothing is sent.
-void detect_silence(Tcp::socket& socket, const HttpPoolLimits& limits) {
+/// Makes the system close a connection whose peer has become unresponsive: if sent bytes aren't acknowledged
+/// and, if enabled in the limits, also while nothing is sent.
+void enable_dead_peer_detection(Tcp::socket& socket, const HttpPoolLimits& limits) {
     if (limits.silence_timeout_ms == milliseconds::zero()) {
         return;
     }
@@ -22,7 +22,7 @@
     if (!limits.probes_idle_connections) {
         return;
     }
-    // Chosen, not measured; the user time-out above ends the wait in any case.
+    // The user timeout set above ends the wait in any case.
     constexpr int probe_interval_s = 1;
     constexpr int probes = 2;
     const int on = 1;
@@ -32,7 +32,7 @@
     ::setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
 }
 
-/// Whether an idle connection has been closed, or holds bytes that belong to no request.
+/// Whether an idle connection has been closed, or holds unexpected bytes.
 bool is_stale(HttpConnection& connection) {
     char byte = 0;
     const auto received =
@@ -57,7 +57,7 @@
 
 std::unique_ptr<HttpConnection> HttpConnectionPool::take_idle(TimePoint now, Duration max_idle) {
     while (!idle_.empty()) {
-        // The most recently used first: the least likely to have been closed.
+        // The most recently used connection is tried first, as the server is least likely to have closed it.
         auto connection = std::move(idle_.back());
         idle_.pop_back();
         const auto allowed = std::min({max_idle, connection->max_idle, Duration(limits_.idle_timeout_ms)});
@@ -88,11 +88,11 @@
     }
     boost::system::error_code ignored;
     connection->stream.socket().set_option(Tcp::no_delay(true), ignored);
-    detect_silence(connection->stream.socket(), limits_);
+    enable_dead_peer_detection(connection->stream.socket(), limits_);
     return connection;
 }
 
-void HttpConnectionPool::give_back(std::unique_ptr<HttpConnection> connection) {
+void HttpConnectionPool::release(std::unique_ptr<HttpConnection> connection) {
     if (connection->stream.is_aborted()) {
         discard(std::move(connection));
         return;
@@ -122,7 +122,7 @@
 
 HttpConnectionLease::~HttpConnectionLease() {
     if (connection_ && pool_->limits().reuse_unclean) {
-        pool_->give_back(std::move(connection_));
+        pool_->release(std::move(connection_));
     }
     if (connection_) {
         if (!whole_) {
@@ -135,7 +135,7 @@
 void HttpConnectionLease::finish(bool reusable) {
     whole_ = true;
     if (connection_ && reusable) {
-        pool_->give_back(std::move(connection_));
+        pool_->release(std::move(connection_));
     }
 }
 
--- a/src/net/http_connection_pool.hpp
+++ b/src/net/http_connection_pool.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The connections of one `HttpClient` to its server: opens them, keeps idle ones, and gives up those that
-/// are stale, silent, or were left inside an exchange. Owns the sockets; relies on the exchange to say what
-/// became of one. Included only inside net/.
+/// The connections of one `HttpClient` to its server: opens connections, keeps idle ones, and closes those
+/// that are stale, unresponsive, or abandoned during an exchange. Owns the sockets; the exchange reports the
+/// state of each connection. Included only inside net/.
 #pragma once
 
 #include "net/beast_support.hpp"
@@ -13,37 +13,37 @@
 
 namespace anisehold::net {
 
-/// One connection and what was read from it beyond the last answer.
+/// One connection, and the bytes read after the last response.
 struct HttpConnection {
     explicit HttpConnection(boost::asio::io_context& io) : stream(io) {}
 
     TimedStream stream;
     beast::flat_buffer buffer;
     TimePoint idle_since;
-    Duration max_idle = Duration::max();  ///< As the server announced it.
+    Duration max_idle = Duration::max();  ///< As announced by the server.
 };
 
-/// For one thread. Shared with the bodies that are still being read, which may outlast the client.
+/// Not thread-safe. Shared with the bodies that are still being read, which may outlive the client.
 class HttpConnectionPool {
   public:
     HttpConnectionPool(boost::asio::io_context& io, Endpoint server, HttpPoolLimits limits)
         : io_(io), server_(std::move(server)), limits_(limits) {}
 
-    /// The idle connection that was used last, or a new one; blocks the fiber while connecting. Says in
-    /// `progress` which it is. Null and an error if none could be had: too many are open, or the server
-    /// didn't accept one in time.
+    /// Returns the most recently used idle connection, or a new one; blocks the fiber while connecting.
+    /// `progress` shows which of the two it is. Returns null and an error if too many connections are open,
+    /// or if the server didn't accept one in time.
     std::unique_ptr<HttpConnection> acquire(const ExchangeOptions& options, ExchangeProgress& progress,
                                             std::error_code& error);
-    /// Keeps a connection for a later exchange.
-    void give_back(std::unique_ptr<HttpConnection> connection);
-    /// Closes a connection that was acquired.
+    /// Returns a connection to the pool for a later exchange.
+    void release(std::unique_ptr<HttpConnection> connection);
+    /// Closes an acquired connection.
     void discard(std::unique_ptr<HttpConnection> connection);
-    /// Closes all idle connections, when the client ends.
+    /// Closes all idle connections when the client ends.
     void close_idle() { idle_.clear(); }
 
-    /// Whether an idle connection is still open at the server's side, as far as that has been heard.
+    /// Whether an idle connection is still open at the server's side, as far as is known.
     bool has_live_idle_connection() const;
-    /// Connections that are open now, in use or idle.
+    /// Number of open connections, in use or idle.
     std::size_t open_connections() const { return open_; }
     const Endpoint& server() const { return server_; }
     const HttpPoolLimits& limits() const { return limits_; }
@@ -55,13 +55,13 @@
     boost::asio::io_context& io_;
     Endpoint server_;
     HttpPoolLimits limits_;
-    std::deque<std::unique_ptr<HttpConnection>> idle_;  ///< The one that was used last is at the back.
+    std::deque<std::unique_ptr<HttpConnection>> idle_;  ///< The most recently used connection is at the back.
     std::size_t open_ = 0;
 };
 
-/// Holds a connection for one exchange; returns it to the pool only after a clean one. An exchange
-/// that is given up resets its connection: a request that a broken link still holds back must not come to the
-/// peer later, when nobody waits for its answer.
+/// Holds a connection for one exchange, and returns it to the pool only after a clean one. An aborted
+/// exchange resets its connection: a request that is still delayed by a broken link must not reach the peer
+/// later, when no caller waits for the response.
 class HttpConnectionLease {
   public:
     HttpConnectionLease(std::shared_ptr<HttpConnectionPool> pool, std::unique_ptr<HttpConnection> connection)
@@ -72,7 +72,7 @@
 
     HttpConnection& operator*() { return *connection_; }
     HttpConnection* operator->() { return connection_.get(); }
-    /// The answer has been read to its end; `reusable` if the server keeps the connection open.
+    /// Called when the whole response has been read; `reusable` if the server keeps the connection open.
     void finish(bool reusable);
 
   private:
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -12,10 +12,10 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-/// Pause after a failed accept: mostly the process is out of descriptors. Chosen, not measured.
+/// Pause after a failed accept, which is usually caused by a lack of file descriptors.
 constexpr milliseconds kAcceptPause{10};
-/// Each check wakes an idle process up; a connection may be idle for that much longer than its limit. Chosen,
-/// not measured.
+/// Interval of the idle check. Each check wakes up an idle process; a connection may exceed its idle timeout
+/// by this interval.
 constexpr milliseconds kIdleCheckPeriod{3'000};
 
 }  // namespace
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// An HTTP/1.1 server: bounded headers and bodies, bounded sender time. A connection is read ahead while its
-/// requests are being answered, so that pipelined requests start at once and a caller that leaves is noticed;
-/// answers are written in the order of the requests. Owns the listening socket and the set of connections
-/// (`http_server_connection`); relies on its handlers for every answer.
+/// An HTTP/1.1 server with limits on header size, body size and sending time. A connection is read ahead
+/// while its requests are being handled, so that pipelined requests start at once and a disconnecting caller
+/// is detected; responses are written in the order of the requests. Owns the listening socket and the set of
+/// connections (`http_server_connection`); its handlers create all responses.
 #pragma once
 
 #include <functional>
@@ -19,21 +19,21 @@
 
 namespace anisehold::net {
 
-/// What a server accepts from a sender. The defaults are chosen, not measured.
+/// Limits on what the server accepts from a sender.
 struct HttpServerLimits {
     std::size_t header_bytes = 16 * 1024;
     std::uint64_t body_bytes = 64ULL * 1024 * 1024;
-    milliseconds header_timeout_ms{15'000};  ///< Longest time for a header, from its first byte.
-    milliseconds idle_timeout_ms{15'000};    ///< Longest idle time of a kept connection.
-    milliseconds body_timeout_ms{10'000};    ///< Longest pause inside a body, either way.
-    std::size_t connections = 4096;          ///< Most that are open; one beyond that is closed at once.
+    milliseconds header_timeout_ms{15'000};  ///< Timeout of a header, from its first byte.
+    milliseconds idle_timeout_ms{15'000};    ///< Maximum idle time of a kept connection.
+    milliseconds body_timeout_ms{10'000};    ///< Maximum pause inside a body, in either direction.
+    std::size_t connections = 4096;          ///< Maximum open connections; any further one is closed at once.
 };
 
-/// What the server does with requests.
+/// Callbacks that handle requests.
 struct HttpServerHandlers {
-    /// Answers one request, on a fiber of its own. The signal fires when the caller closes its connection.
+    /// Handles one request, on a fiber of its own. The signal fires when the caller closes its connection.
     std::function<HttpResponse(HttpRequest&, CancelSignal&)> handle;
-    /// Answers a request that could not be read.
+    /// Creates the response to a request that could not be parsed.
     std::function<HttpResponse(ErrorKind)> reject;
 };
 
@@ -45,22 +45,22 @@
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
-    /// Binds and starts accepting; on an error, the system's, nothing is listening.
+    /// Binds and starts accepting. On failure, returns the system's error and doesn't listen.
     std::error_code start(const Endpoint& endpoint);
-    /// The bound port, which differs from the requested one when that was 0.
+    /// Returns the bound port, which differs from the requested one if that was 0.
     std::uint16_t port() const;
-    /// Replaces the bounds; connections follow with their next request.
+    /// Replaces the limits; each connection applies them from its next request on.
     void set_limits(const HttpServerLimits& limits);
-    /// From now on answers carry `Connection: close`; connections and requests are still accepted.
+    /// Makes all further responses carry `Connection: close`; connections and requests are still accepted.
     void begin_closing();
-    /// Accepts no new connection.
+    /// Stops accepting connections.
     void stop_accepting();
-    /// Closes the connections that have no request in progress.
+    /// Closes the connections without a request in progress.
     void close_idle();
-    /// Ends all connections with a reset, whatever goes on there, as the end of the process would. For the
-    /// tests' stand-ins of servers that crash; the daemons don't call it.
+    /// Resets all connections, whatever their state, as the exit of the process would. Used by tests to
+    /// simulate crashing servers; the daemons don't call this function.
     void reset_connections();
-    /// Requests being answered now.
+    /// Number of requests being handled.
     std::size_t requests_in_flight() const;
 
   private:
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -10,17 +10,16 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-/// How long bytes that belong to no request are read off a connection after its last answer. Chosen, not
-/// measured.
+/// Time for which unexpected bytes are read from a connection after its last response.
 constexpr milliseconds kLingerTime{1'000};
-/// Most requests of one connection that are answered at the same time. Chosen, not measured.
-constexpr std::size_t kMostPipelined = 8;
+/// Maximum requests of one connection that are handled concurrently.
+constexpr std::size_t kMaxPipelinedRequests = 8;
 
 const boost::system::error_category& parse_category() {
     return make_error_code(http::error::bad_method).category();
 }
 
-/// Which kind of rejection a failed read of a request calls for, if the sender deserves an answer at all.
+/// Returns the rejection for a failed read of a request, if a response is due.
 std::optional<ErrorKind> rejection_for(const boost::system::error_code& error, bool anything_received) {
     if (error == http::error::header_limit) {
         return ErrorKind::kHeaderTooLarge;
@@ -40,18 +39,18 @@
 
 }  // namespace
 
-/// One request on a connection and its place in the order of answers.
+/// One request on a connection, and its position in the order of responses.
 struct HttpServerConnection::PendingExchange {
     HttpRequest request;
     CancelSignal cancel;
     bool keep_alive = true;
     unsigned version = kHttp11;
     std::shared_ptr<PendingExchange> previous;
-    FiberEvent body_taken;  ///< Set when the handler no longer reads the request's body.
-    FiberEvent written;     ///< Set when the answer has left, or never will.
+    FiberEvent body_consumed;  ///< Set when the handler has finished reading the request's body.
+    FiberEvent written;        ///< Set when the response has been written, or never will be.
 };
 
-/// Reads the unbuffered rest of a request body.
+/// Reads the unbuffered remainder of a request body.
 class HttpServerConnection::RequestBodyReader final : public BodyReader {
   public:
     RequestBodyReader(TimedStream& stream, beast::flat_buffer& buffer, RequestParser& parser, Duration pause)
@@ -85,7 +84,7 @@
 }
 
 bool HttpServerConnection::wait_for_request() {
-    if (open_exchanges_.size() >= kMostPipelined) {
+    if (open_exchanges_.size() >= kMaxPipelinedRequests) {
         wait_until_written(open_exchanges_.front());
     }
     if (buffer_.size() > 0) {
@@ -118,8 +117,9 @@
     }
     start_answer(exchange);
     if (!whole) {
-        // The parser lives on this fiber's stack: the body must be done with before the next request.
-        exchange->body_taken.wait();
+        // The parser is on this fiber's stack, so the handler must finish reading the body before the next
+        // request.
+        exchange->body_consumed.wait();
         exchange->keep_alive = exchange->keep_alive && parser.is_done();
         if (!parser.is_done()) {
             return false;
@@ -146,14 +146,14 @@
     }
     stream_.reads_expire_after(limits.body_timeout_ms);
     if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
-        http::response<http::empty_body> go_on(http::status::continue_, parser.get().version());
-        stream_.complete_write([&](auto& ec) { http::write(stream_.socket(), go_on, ec); });
+        http::response<http::empty_body> continue_response(http::status::continue_, parser.get().version());
+        stream_.complete_write([&](auto& ec) { http::write(stream_.socket(), continue_response, ec); });
     }
     read_body_prefix(stream_, buffer_, parser, request.body.prefix, kBufferedBodyBytes, error);
     return error;
 }
 
-/// Answers a request that couldn't be read, or cancels the open ones if the peer has left.
+/// Rejects a request that couldn't be parsed, or cancels the open ones if the peer has disconnected.
 void HttpServerConnection::stop_reading(const boost::system::error_code& error, bool anything_received) {
     const bool ended = error == http::error::end_of_stream || error.category() != parse_category();
     const auto kind = rejection_for(error, anything_received);
@@ -166,7 +166,7 @@
 
 void HttpServerConnection::start_answer(const std::shared_ptr<PendingExchange>& exchange) {
     exchange->previous = last_;
-    // The fiber that handles the request keeps the connection.
+    // The fiber that handles the request keeps the connection alive.
     exchange->cancel.set_probe([this] { return has_ended(); });
     last_ = exchange;
     open_exchanges_.push_back(exchange);
@@ -176,12 +176,12 @@
 
 void HttpServerConnection::answer(const std::shared_ptr<PendingExchange>& exchange) {
     HttpResponse response = server_->handlers.handle(exchange->request, exchange->cancel);
-    const bool body_left = !exchange->request.body.whole();
+    const bool body_unread = !exchange->request.body.whole();
     exchange->request.body.rest.reset();
-    exchange->body_taken.set();
+    exchange->body_consumed.set();
     wait_until_written(std::move(exchange->previous));
-    const bool keep_alive = exchange->keep_alive && !server_->closing && !body_left;
-    const bool writable = !peer_gone_ && !answers_closed_;
+    const bool keep_alive = exchange->keep_alive && !server_->closing && !body_unread;
+    const bool writable = !peer_disconnected_ && !answers_closed_;
     const bool written = writable && write_response(response, exchange->version, keep_alive);
     if (!written || !keep_alive) {
         answers_closed_ = true;
@@ -201,11 +201,11 @@
     exchange->written.set();
 }
 
-/// Bytes that come now belong to no request. Reading them shows when the peer leaves, and keeps their arrival
-/// from destroying an answer that is still on its way.
+/// Reads and discards bytes that belong to no request. This detects that the peer disconnects, and prevents
+/// their arrival from destroying a response that is still being transmitted.
 void HttpServerConnection::discard_until_closed() {
     std::array<char, kStreamChunkBytes> scratch;
-    while (!peer_gone_) {
+    while (!peer_disconnected_) {
         const bool lingering = answers_closed_ || open_exchanges_.empty();
         if (lingering) {
             close_sending();
@@ -224,7 +224,7 @@
 
 void HttpServerConnection::reject(ErrorKind kind) {
     wait_until_written(last_);
-    // A sender that was too slow may still read the answer.
+    // A sender that was too slow may still read the response.
     auto response = server_->handlers.reject(kind);
     write_response(response, kHttp11, false);
     answers_closed_ = true;
@@ -261,7 +261,7 @@
     stream_.reset();
 }
 
-/// Whether the peer has ended the connection, though that may not have been read yet.
+/// Whether the peer has closed the connection, even if the end of the stream hasn't been read yet.
 bool HttpServerConnection::has_ended() {
     char byte = 0;
     const auto got = ::recv(stream_.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -270,15 +270,15 @@
 }
 
 void HttpServerConnection::cancel_all() {
-    peer_gone_ = true;
+    peer_disconnected_ = true;
     const auto exchanges = open_exchanges_;
     for (const auto& exchange : exchanges) {
         exchange->cancel.cancel();
     }
 }
 
-/// Waits for the end of an exchange, if there is one. Takes a share of it: its owners let go of it as it
-/// ends.
+/// Waits for the end of an exchange, if there is one. Takes shared ownership, because the other owners
+/// release the exchange when it ends.
 void HttpServerConnection::wait_until_written(std::shared_ptr<PendingExchange> exchange) {
     if (exchange) {
         exchange->written.wait();
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// One accepted connection of an `HttpServer`: a reader fiber takes requests off it, and each request has a
-/// fiber of its own that answers it. Owns the socket and the order of answers; what is accepted and how it is
-/// answered is the server's. Included only inside net/.
+/// One accepted connection of an `HttpServer`: a reader fiber reads requests, and each request is handled on
+/// its own fiber. Owns the socket and the order of responses; the server defines the limits and the handlers.
+/// Included only inside net/.
 #pragma once
 
 #include "net/beast_support.hpp"
@@ -13,12 +13,12 @@
 
 namespace anisehold::net {
 
-/// What the connections of one server share.
+/// State shared by the connections of one server.
 struct HttpServerShared {
     HttpServerLimits limits;
     HttpServerHandlers handlers;
-    bool closing = false;       ///< Answers close their connection.
-    std::size_t in_flight = 0;  ///< Requests being answered, of all connections.
+    bool closing = false;       ///< Responses close their connection.
+    std::size_t in_flight = 0;  ///< Number of requests being handled, over all connections.
 };
 
 class HttpServerConnection : public std::enable_shared_from_this<HttpServerConnection> {
@@ -26,15 +26,15 @@
     HttpServerConnection(boost::asio::ip::tcp::socket socket, std::shared_ptr<HttpServerShared> server)
         : server_(std::move(server)), stream_(std::move(socket)) {}
 
-    /// Reads requests and has them answered until the connection ends; blocks the fiber for that long.
+    /// Reads requests and starts their handling until the connection ends; blocks the fiber until then.
     void serve();
 
-    /// Whether no request is being read or answered.
+    /// Whether no request is being read or handled.
     bool is_idle() const { return open_exchanges_.empty() && waiting_for_request_; }
     TimePoint idle_since() const { return idle_since_; }
-    /// Closes both directions; for an idle connection.
+    /// Closes both directions of an idle connection.
     void close();
-    /// Cancels all requests and ends the connection with a reset.
+    /// Cancels all requests and resets the connection.
     void reset();
 
   private:
@@ -62,11 +62,11 @@
     TimedStream stream_;
     beast::flat_buffer buffer_;
     std::deque<std::shared_ptr<PendingExchange>> open_exchanges_;
-    std::shared_ptr<PendingExchange> last_;  ///< The latest exchange, while its answer isn't written.
+    std::shared_ptr<PendingExchange> last_;  ///< The latest exchange, until its response is written.
     TimePoint idle_since_ = TimePoint::clock::now();
     bool waiting_for_request_ = false;
-    bool peer_gone_ = false;
-    bool answers_closed_ = false;  ///< An answer that closes the connection was written.
+    bool peer_disconnected_ = false;
+    bool answers_closed_ = false;  ///< A response that closes the connection was written.
 };
 
 }  // namespace anisehold::net
--- a/src/net/listen.hpp
+++ b/src/net/listen.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Opening of listening TCP sockets. Included only where Asio is.
+/// Opens listening TCP sockets. Included only where Asio is.
 #pragma once
 
 #include <utility>
@@ -10,7 +10,7 @@
 
 namespace anisehold::net {
 
-/// Opens, binds and starts to listen; the first step that fails ends it.
+/// Opens, binds and starts listening; stops at the first step that fails.
 inline boost::system::error_code listen_on(boost::asio::ip::tcp::acceptor& acceptor,
                                            const Endpoint& endpoint) {
     using Tcp = boost::asio::ip::tcp;
--- a/src/net/problem_document.hpp
+++ b/src/net/problem_document.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The problem document (RFC 9457) in which both programs answer a request that no server answered. Owns the
-/// order of its members; header lines beside the content type are the caller's.
+/// The problem document (RFC 9457) with which both programs respond to a request that no server answered.
+/// Owns the order of its members; the caller sets header fields other than the content type.
 #pragma once
 
 #include <chrono>
@@ -12,17 +12,17 @@
 
 namespace anisehold::net {
 
-/// What a document says. Title, status and name come from the error kind's row.
+/// Content of a problem document. Title, status and name are taken from the error kind.
 struct Problem {
     ErrorKind error = ErrorKind::kNoBackend;
-    std::string request_id;  ///< Empty if it isn't known; the member is there even so.
-    std::string type;        ///< URI of the kind of problem; left out if empty.
+    std::string request_id;  ///< Empty if unknown; the member is written nevertheless.
+    std::string type;        ///< URI of the problem type; omitted if empty.
     std::optional<Execution> execution;
     std::optional<std::chrono::milliseconds> retry_after;
 };
 
-/// The answer with the kind's status and the document as its body. Bytes of the id that aren't UTF-8 are
-/// replaced.
+/// Creates a response with the status of the error kind and the document as its body. Bytes of the id that
+/// aren't valid UTF-8 are replaced.
 HttpResponse problem_response(const Problem& problem);
 
 }  // namespace anisehold::net
--- a/src/net/timed_stream.hpp
+++ b/src/net/timed_stream.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A TCP connection whose waits end at a deadline. Included only inside net/.
+/// A TCP connection whose operations time out at a deadline. Included only inside net/.
 #pragma once
 
 #include <utility>
@@ -12,38 +12,38 @@
 
 namespace anisehold::net {
 
-/// A non-blocking socket for one fiber that reads and one that writes. Operations are tried at once and wait
-/// for the socket only if they would block, so that an exchange costs few system calls.
+/// A non-blocking socket for one reading and one writing fiber. Operations are tried immediately and wait for
+/// the socket only if they would block, so that an exchange needs few system calls.
 class TimedStream {
   public:
     using Socket = boost::asio::ip::tcp::socket;
 
     explicit TimedStream(boost::asio::io_context& io) : socket_(io) {}
-    /// Takes over an accepted connection.
-    explicit TimedStream(Socket socket) : socket_(std::move(socket)) { be_non_blocking(); }
+    /// Takes ownership of an accepted connection.
+    explicit TimedStream(Socket socket) : socket_(std::move(socket)) { set_non_blocking(); }
 
     Socket& socket() { return socket_; }
 
-    /// Waits that begin from now on end at that time with `beast::error::timeout`.
+    /// Sets the deadline of waits that begin from now on; they end with `beast::error::timeout`.
     void reads_expire_at(TimePoint deadline) { read_deadline_ = deadline; }
     void reads_expire_after(Duration time) { read_deadline_ = TimePoint::clock::now() + time; }
     void reads_expire_never() { read_deadline_ = TimePoint::max(); }
     void writes_expire_at(TimePoint deadline) { write_deadline_ = deadline; }
     void writes_expire_after(Duration time) { write_deadline_ = TimePoint::clock::now() + time; }
 
-    /// Ends the waits that go on now.
+    /// Ends the current waits.
     void cancel() {
         boost::system::error_code ignored;
         socket_.cancel(ignored);
     }
-    /// Ends the waits that go on now and all later ones: the connection can't be used any more.
+    /// Ends the current and all later waits; the connection is unusable afterwards.
     void abort() {
         aborted_ = true;
         cancel();
     }
     bool is_aborted() const { return aborted_; }
-    /// Ends the connection with a reset: what was written and hasn't reached the peer yet never will. (Asio's
-    /// destructor takes the option back, so the socket is closed here.)
+    /// Resets the connection: written bytes that haven't reached the peer yet are discarded. (The socket is
+    /// closed here because Asio's destructor clears the linger option.)
     void reset() {
         boost::system::error_code ignored;
         socket_.set_option(Socket::linger(true, 0), ignored);
@@ -55,14 +55,15 @@
         const auto error = await(write_deadline_,
                                  [&](auto handler) { socket_.async_connect(endpoint, std::move(handler)); });
         if (!error) {
-            be_non_blocking();
+            set_non_blocking();
         }
         return error;
     }
 
     boost::system::error_code wait_readable() { return wait(Socket::wait_read); }
 
-    /// Calls `attempt(error)`, a non-blocking operation, until it no longer would block; waits in between.
+    /// Calls `attempt(error)`, a non-blocking operation, until it no longer would block; waits for the socket
+    /// in between.
     template <typename Attempt>
     boost::system::error_code complete_read(Attempt attempt) {
         return complete(Socket::wait_read, attempt);
@@ -73,7 +74,7 @@
     }
 
   private:
-    void be_non_blocking() {
+    void set_non_blocking() {
         boost::system::error_code ignored;
         socket_.non_blocking(true, ignored);
     }
--- a/src/net/udp_socket.cpp
+++ b/src/net/udp_socket.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 using Udp = boost::asio::ip::udp;
-/// UDP carries no more, in bytes.
-constexpr std::size_t kLargestDatagram = 64 * 1024;
+/// Maximum size of a UDP datagram.
+constexpr std::size_t kMaxDatagramBytes = 64 * 1024;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
 
     Udp::socket socket;
     Receiver receiver;
-    std::array<char, kLargestDatagram> buffer{};
+    std::array<char, kMaxDatagramBytes> buffer{};
 };
 
 UdpSocket::UdpSocket(boost::asio::io_context& io) : state_(std::make_shared<State>(io)) {}
--- a/src/net/udp_socket.hpp
+++ b/src/net/udp_socket.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A UDP socket for fibers. Datagrams may be lost on any way; what they hold is the caller's.
+/// A UDP socket for fibers. Datagrams may be lost; the caller defines their content.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace anisehold::net {
 
-/// Receives datagrams on a fiber of its own and sends without waiting.
+/// Receives datagrams on its own fiber, and sends without waiting.
 class UdpSocket {
   public:
     using Receiver = std::function<void(const Endpoint& from, std::string_view bytes)>;
@@ -26,9 +26,10 @@
     UdpSocket(const UdpSocket&) = delete;
     UdpSocket& operator=(const UdpSocket&) = delete;
 
-    /// Binds and starts receiving; the error is the system's. The receiver must not block its fiber.
+    /// Binds and starts receiving; returns the system's error on failure. The receiver must not block its
+    /// fiber.
     std::error_code start(const Endpoint& endpoint, Receiver receiver);
-    /// Sends at once; a datagram that the system can't take is dropped.
+    /// Sends immediately; a datagram that the system can't accept is dropped.
     void send(const Endpoint& to, std::string_view bytes);
     void close();
 
--- a/tests/unit/net/cancel_signal_test.cpp
+++ b/tests/unit/net/cancel_signal_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace anisehold::net;
 
-TEST_CASE("a signal that is checked finds out itself that the caller has gone") {
+TEST_CASE("checking a cancel signal detects that the caller has disconnected") {
     CancelSignal signal;
     CHECK_FALSE(signal.check());
     bool has_gone = false;
