--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -119,7 +119,7 @@
 /// Reads up to `buffered_bytes` of the body. A longer body keeps the connection until all of it has been
 /// read.
 std::error_code receive_body(HttpConnectionLease& lease, std::unique_ptr<ResponseParser> parser,
-                             std::size_t buffered_bytes, Duration longest_pause, Body& body) {
+                             std::size_t buffered_bytes, Duration max_pause, Body& body) {
     boost::system::error_code error;
     read_body_prefix(lease->stream, lease->buffer, *parser, body.prefix, buffered_bytes, error);
     if (error) {
@@ -133,7 +133,7 @@
     if (parser->content_length()) {
         body.length = *parser->content_length();
     }
-    body.rest = std::make_unique<ResponseBodyReader>(std::move(lease), std::move(parser), longest_pause);
+    body.rest = std::make_unique<ResponseBodyReader>(std::move(lease), std::move(parser), max_pause);
     return {};
 }
 
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -240,9 +240,9 @@
     message.keep_alive(keep_alive);
     boost::system::error_code error;
     std::error_code source_error;
-    const auto longest_pause = server_->limits.body_timeout_ms;
-    stream_.writes_expire_after(longest_pause);
-    write_message(stream_, message, response.body, longest_pause, error, source_error);
+    const auto max_pause = server_->limits.body_timeout_ms;
+    stream_.writes_expire_after(max_pause);
+    write_message(stream_, message, response.body, max_pause, error, source_error);
     return !error && !source_error;
 }
 
--- a/src/sidecar/call_attempts.cpp
+++ b/src/sidecar/call_attempts.cpp
@@ -204,10 +204,10 @@
 void CallAttempts::send(const std::shared_ptr<AttemptSet>& attempt_set, Attempt& attempt,
                         const hop::HopRequest& hop_call, bool streamed, Duration slow_after) {
     auto request = streamed ? std::move(attempt_set->request) : copy_of(attempt_set->request);
-    const bool own = attempt.server.peer == context_.settings.name;
+    const bool is_local = attempt.server.peer == context_.settings.name;
     attempt.answer =
-        own ? gate_.run(std::move(request), hop_call, &attempt.cancel, attempt.progress)
-            : hops_.run(attempt.server, std::move(request), hop_call, &attempt.cancel, attempt.progress);
+        is_local ? gate_.run(std::move(request), hop_call, &attempt.cancel, attempt.progress)
+                 : hops_.run(attempt.server, std::move(request), hop_call, &attempt.cancel, attempt.progress);
     attempt.ended = true;
     const auto& result = attempt.answer.result;
     const auto now = TimePoint::clock::now();
--- a/src/sidecar/endpoints.cpp
+++ b/src/sidecar/endpoints.cpp
@@ -23,16 +23,16 @@
 /// A daemon that knows no peers counts as ready after this time: it may be alone, or the store may be down.
 constexpr seconds kAloneTimeout{5};
 
-net::HttpResponse text_answer(unsigned status, std::string text) {
+net::HttpResponse text_response(unsigned status, std::string text) {
     return net::make_response(status, "text/plain", std::move(text));
 }
 
-net::HttpResponse json_answer(std::string text) {
+net::HttpResponse json_response(std::string text) {
     return net::make_response(kOk, "application/json", std::move(text));
 }
 
 net::HttpResponse not_found() {
-    return text_answer(kNotFound, "not found\n");
+    return text_response(kNotFound, "not found\n");
 }
 
 }  // namespace
@@ -49,14 +49,14 @@
     request.fields.remove(hop::kRequestHeader);
     net::ExchangeProgress progress;
     auto answer = parts_.gate.run(std::move(request), *call, &cancel, progress);
-    auto response = answer.response ? std::move(*answer.response) : text_answer(kUnavailable, "");
+    auto response = answer.response ? std::move(*answer.response) : text_response(kUnavailable, "");
     response.fields.set(hop::kResultHeader, encode(answer.result));
     return response;
 }
 
 net::HttpResponse Endpoints::answer_configuration(std::string_view target) const {
     return target == kConfigurationPath && parts_.configuration.version() != 0
-               ? json_answer(parts_.configuration.text())
+               ? json_response(parts_.configuration.text())
                : not_found();
 }
 
@@ -70,20 +70,20 @@
         if (registration::should_log_refusal(refusals_, TimePoint::clock::now(), request.target)) {
             log_event(Event::kHeartbeatRefused, {{"target", request.target}, {"reason", problem}});
         }
-        return text_answer(kBadRequest, problem + "\n");
+        return text_response(kBadRequest, problem + "\n");
     }
     const auto change = parts_.gate.servers().on_registration(TimePoint::clock::now(), *call);
     if (change != RegistryChange::kNone && change != RegistryChange::kRefreshed) {
         parts_.peers.announce();
     }
-    return json_answer("{}");
+    return json_response("{}");
 }
 
 net::HttpResponse Endpoints::handle_readiness(const net::HttpRequest& request) const {
     if (!parts_.context.dialect.is_readiness_call(request)) {
         return not_found();
     }
-    return is_ready() ? text_answer(kOk, "ready\n") : text_answer(kUnavailable, "not ready\n");
+    return is_ready() ? text_response(kOk, "ready\n") : text_response(kUnavailable, "not ready\n");
 }
 
 bool Endpoints::is_ready() const {
@@ -111,7 +111,7 @@
     }
     metrics.set_members("alive", parts_.directory.reachable_count(now));
     metrics.set_table_revision(parts_.configuration.version());
-    return text_answer(kOk, metrics.text());
+    return text_response(kOk, metrics.text());
 }
 
 net::HttpResponse Endpoints::handle_suspects(std::string_view method, std::string_view digest_text) {
@@ -121,11 +121,11 @@
     const auto digest = parse_request_digest(digest_text);
     if (method != "DELETE" || !digest) {
         const std::string path(kSuspectsPath);
-        return text_answer(kBadRequest,
-                           "GET " + path + " or DELETE " + path + "DIGEST, 32 hexadecimal digits\n");
+        return text_response(kBadRequest,
+                             "GET " + path + " or DELETE " + path + "DIGEST, 32 hexadecimal digits\n");
     }
-    return parts_.crashes.clear(*digest) ? text_answer(kOk, "lifted\n")
-                                         : text_answer(kNotFound, "not remembered\n");
+    return parts_.crashes.clear(*digest) ? text_response(kOk, "lifted\n")
+                                         : text_response(kNotFound, "not remembered\n");
 }
 
 net::HttpResponse Endpoints::list_suspects() const {
@@ -135,7 +135,7 @@
                 (each.is_condemned ? " condemned for_s=" : " suspected for_s=") +
                 std::to_string(to_milliseconds(each.ends_in) / 1000) + "\n";
     }
-    return text_answer(kOk, std::move(text));
+    return text_response(kOk, std::move(text));
 }
 
 }  // namespace anisehold::sidecar
--- a/src/sidecar/gate_server.cpp
+++ b/src/sidecar/gate_server.cpp
@@ -108,10 +108,10 @@
                              : server.latency + (elapsed - server.latency) / kLatencyDivisor;
     }
     const auto& result = answer.result;
-    const bool held_back =
+    const bool refused_at_gate =
         result.outcome == HopOutcome::kNotSent && result.error != ErrorKind::kConnectFailed;
     // A failure caused by a downstream overload says nothing about this server.
-    if (cancelled || held_back || !result.overloaded_service.empty()) {
+    if (cancelled || refused_at_gate || !result.overloaded_service.empty()) {
         return;
     }
     selection::recordResult(server.failures, now, !good, kFailureSampleWeight);
--- a/src/sidecar/hop_client.cpp
+++ b/src/sidecar/hop_client.cpp
@@ -9,7 +9,7 @@
 
 /// Time beyond the request's deadline for which the gate's response is awaited; longer than the gate waits
 /// for its server.
-constexpr milliseconds kAnswerSlack{60};
+constexpr milliseconds kResponseSlack{60};
 
 GateAnswer failure_at(const hop::HopRequest& call, HopOutcome outcome, ErrorKind error) {
     auto answer = make_failure(outcome, error);
@@ -46,7 +46,7 @@
                           net::ExchangeProgress& progress) {
     const auto client = client_for(server);
     request.fields.set(hop::kRequestHeader, encode(call));
-    net::ExchangeOptions options{TimePoint::clock::now() + call.remaining + kAnswerSlack, cancel};
+    net::ExchangeOptions options{TimePoint::clock::now() + call.remaining + kResponseSlack, cancel};
     std::error_code error;
     auto response = client->exchange(request, options, progress, error);
     if (!response) {
--- a/src/sidecar/proof_keeper.cpp
+++ b/src/sidecar/proof_keeper.cpp
@@ -22,21 +22,21 @@
 /// them.
 constexpr milliseconds kWatcherReadSpread{400};
 /// Minimum age at which any other daemon reads: by then, no watcher has replied for a second.
-constexpr milliseconds kOwnReadAge{2'300};
+constexpr milliseconds kNonWatcherReadAge{2'300};
 /// Random addition per known peer: a fleet of 50 or more daemons spreads its reads over the whole of
-/// `kMaxOwnReadSpread`.
-constexpr milliseconds kOwnReadSpreadPerPeer{30};
-constexpr milliseconds kMaxOwnReadSpread{1'500};
+/// `kMaxNonWatcherReadSpread`.
+constexpr milliseconds kNonWatcherReadSpreadPerPeer{30};
+constexpr milliseconds kMaxNonWatcherReadSpread{1'500};
 /// Timeout of a read. Longer reads prove little, because the proof counts from their start.
 constexpr milliseconds kReadTimeout{1'000};
 /// Pauses after failed reads: short at a watcher, since its zone waits for the store to return.
 constexpr milliseconds kWatcherRetryPause{300};
-constexpr milliseconds kOwnRetryPause{800};
+constexpr milliseconds kNonWatcherRetryPause{800};
 /// Interval of requests to a watcher; adds to the age of the proof.
 constexpr milliseconds kRequestPeriod{700};
 /// Age at which the last reply must have been lost or its watcher has no proof itself, and the interval of
 /// requests from then on.
-constexpr milliseconds kOldProof{1'900};
+constexpr milliseconds kOldProofAge{1'900};
 constexpr milliseconds kOldProofRequestPeriod{200};
 /// Interval at which the loops check whether an action is due.
 constexpr milliseconds kCheckInterval{200};
@@ -72,10 +72,10 @@
         const std::chrono::duration<double> spread = kWatcherReadSpread * read_spread_;
         return kWatcherReadAge + std::chrono::duration_cast<Duration>(spread);
     }
-    const auto by_fleet = kOwnReadSpreadPerPeer * static_cast<long long>(directory_.known_count());
+    const auto by_fleet = kNonWatcherReadSpreadPerPeer * static_cast<long long>(directory_.known_count());
     const std::chrono::duration<double> spread =
-        std::min<milliseconds>(by_fleet, kMaxOwnReadSpread) * read_spread_;
-    return kOwnReadAge + std::chrono::duration_cast<Duration>(spread);
+        std::min<milliseconds>(by_fleet, kMaxNonWatcherReadSpread) * read_spread_;
+    return kNonWatcherReadAge + std::chrono::duration_cast<Duration>(spread);
 }
 
 void ProofKeeper::read_periodically() {
@@ -89,7 +89,7 @@
         const bool read = read_once();
         read_spread_ = context_.random_unit();
         if (!read) {
-            const auto pause = context_.store.watches() ? kWatcherRetryPause : kOwnRetryPause;
+            const auto pause = context_.store.watches() ? kWatcherRetryPause : kNonWatcherRetryPause;
             const std::chrono::duration<double> jittered = pause * (0.5 + context_.random_unit());
             boost::this_fiber::sleep_for(std::chrono::duration_cast<Duration>(jittered));
         }
@@ -129,7 +129,7 @@
 void ProofKeeper::request_periodically() {
     while (true) {
         const auto age = age_or_max(TimePoint::clock::now());
-        const bool is_old = age >= kOldProof;
+        const bool is_old = age >= kOldProofAge;
         if (is_needed() && age >= kRequestPeriod) {
             request_proof();
         }
@@ -143,7 +143,7 @@
 void ProofKeeper::request_proof() {
     const auto now = TimePoint::clock::now();
     const auto members = directory_.members(now);
-    const bool is_old = age_or_max(now) >= kOldProof;
+    const bool is_old = age_or_max(now) >= kOldProofAge;
     std::vector<const membership::FleetMember*> candidates;
     // With an old proof, any peer may be asked, because the known watchers may have no proof themselves.
     for (const bool local : {true, false}) {
--- a/src/sidecar/server_chooser.cpp
+++ b/src/sidecar/server_chooser.cpp
@@ -109,9 +109,9 @@
 
 void ServerChooser::remove_leaving(membership::ServiceView& view) {
     const auto leaves = [this](const auto* known) { return context_.notices.is_leaving(known->server); };
-    const auto drop = [&](std::vector<const membership::KnownServer*>& servers, std::size_t& usual) {
-        const auto usual_end = servers.begin() + static_cast<std::ptrdiff_t>(usual);
-        usual -= static_cast<std::size_t>(std::count_if(servers.begin(), usual_end, leaves));
+    const auto drop = [&](std::vector<const membership::KnownServer*>& servers, std::size_t& preferred) {
+        const auto preferred_end = servers.begin() + static_cast<std::ptrdiff_t>(preferred);
+        preferred -= static_cast<std::size_t>(std::count_if(servers.begin(), preferred_end, leaves));
         std::erase_if(servers, leaves);
     };
     drop(view.local, view.preferred_local);
--- a/src/sidecar/server_exchange.cpp
+++ b/src/sidecar/server_exchange.cpp
@@ -20,11 +20,11 @@
 constexpr milliseconds kMaxAtMostOnceIdle{2'000};
 /// Time beyond the request's deadline for which a response is awaited, so that the server's own timeout
 /// response arrives first.
-constexpr milliseconds kAnswerSlack{20};
+constexpr milliseconds kResponseSlack{20};
 
 net::ExchangeOptions options_for(const SidecarContext& context, const GateServer& server, const GateRun& run,
                                  TimePoint now) {
-    net::ExchangeOptions options{run.deadline + kAnswerSlack, run.cancel};
+    net::ExchangeOptions options{run.deadline + kResponseSlack, run.cancel};
     options.expected_echo = context.dialect.echoed_field(run.request_id);
     if (context.has(Mechanism::kIdleConnectionLimit)) {
         options.max_idle = connection::currentMaxIdle(server.idle_limit, now);
--- a/src/sidecar/store_link.cpp
+++ b/src/sidecar/store_link.cpp
@@ -35,10 +35,10 @@
     }
 }
 
-void StoreLink::pause(unsigned failures, milliseconds at_most) {
-    const auto longest = std::min(at_most, kFirstPause * (1U << std::min(failures, kMaxDoublings)));
+void StoreLink::pause(unsigned failures, milliseconds max_wait) {
+    const auto max_pause = std::min(max_wait, kFirstPause * (1U << std::min(failures, kMaxDoublings)));
     // Random factor of 0.5 to 1.5, so that daemons that failed together don't retry together.
-    const auto jittered = std::chrono::duration_cast<Duration>(longest * (0.5 + context_.random_unit()));
+    const auto jittered = std::chrono::duration_cast<Duration>(max_pause * (0.5 + context_.random_unit()));
     boost::this_fiber::sleep_for(jittered);
 }
 
--- a/src/sidecar/store_link.hpp
+++ b/src/sidecar/store_link.hpp
@@ -22,7 +22,7 @@
     /// Logs the number of items from other writers that couldn't be decoded.
     static void log_unreadable(std::size_t count, const char* purpose);
     /// Waits before the next call after `failures` consecutive failures. Blocks the fiber.
-    void pause(unsigned failures, milliseconds at_most);
+    void pause(unsigned failures, milliseconds max_wait);
 
   private:
     SidecarContext& context_;
