--- a/src/membership/gossip_message.hpp
+++ b/src/membership/gossip_message.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The one datagram that table daemons exchange. The order of the fields is the encoding.
+/// The gossip datagram exchanged by table daemons. Owns the message layout: the order of the fields is the
+/// encoding. Relies on `serialize_all`.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +16,16 @@
     kPing,
     kAck,
     kPingRequest,  ///< Asks the receiver to ping `target` for the sender.
-    kAnnounce,     ///< Only carries updates and revisions; no answer.
+    kAnnounce,     ///< Carries only updates and revisions; the receiver sends no reply.
 };
 
-/// Bounded in size whatever the fleet's: at most `kMaxUpdates` updates.
+/// The size is bounded regardless of fleet size: at most `kMaxUpdates` updates.
 struct GossipMessage {
     GossipType type = GossipType::kPing;
-    std::uint64_t sequence = 0;  ///< An ack has that of its ping.
+    std::uint64_t sequence = 0;  ///< An ack repeats the sequence number of its ping.
     MemberRecord sender;
-    std::vector<MemberRecord> about_receiver;  ///< At most one: what the sender believes of the receiver.
-    std::vector<MemberRecord> target;          ///< Of a ping request: exactly one.
+    std::vector<MemberRecord> about_receiver;  ///< At most one: the sender's record of the receiver.
+    std::vector<MemberRecord> target;          ///< Exactly one in a ping request, otherwise empty.
     std::vector<MemberRecord> updates;
     DocumentRevisions revisions{};
 
@@ -34,7 +35,7 @@
     }
 };
 
-/// Most updates in one message; keeps a datagram under 1,400 bytes (peer_messages_test).
+/// Maximum number of updates in one message; keeps a datagram under 1,400 bytes (peer_messages_test).
 inline constexpr std::size_t kMaxUpdates = 6;
 
 }  // namespace anisehold::membership
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What table daemons know about each other. A higher incarnation wins, and at the same one the later state.
+/// Membership records exchanged by table daemons. Owns the precedence rule: the record with the higher
+/// incarnation wins, and at equal incarnation the one with the later state.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +11,23 @@
 
 namespace anisehold::membership {
 
-/// The life of a member. The order is the order of precedence at equal incarnation.
+/// Lifecycle state of a member. Enum order is the order of precedence at equal incarnation.
 enum class MemberState : std::uint8_t {
     kAlive,
-    kLeaving,  ///< Alive, finishing what is in flight; takes no new duty.
+    kLeaving,  ///< Alive and finishing in-flight calls; accepts no new calls or duties.
     kSuspect,
     kDead,
-    kLeft,  ///< Stopped as planned.
+    kLeft,  ///< Stopped by a planned shutdown.
 };
 
 /// Stable lower-case name of a state.
 std::string member_state_name(MemberState state);
 
-/// Who a member is and where it listens.
+/// Identity and listening addresses of a member.
 struct MemberInfo {
     std::string id;
     std::string zone;
-    std::uint64_t boot_id = 0;  ///< Random at each start; a restarted process has another one.
+    std::uint64_t boot_id = 0;  ///< Random; differs after each restart.
     Endpoint call;
     Endpoint peer;
     Endpoint admin;
@@ -39,16 +40,17 @@
     }
 };
 
-/// What is said about a member. A higher incarnation wins; at the same one, the later state.
+/// Identity, incarnation and state of a member. The higher incarnation wins; at equal incarnation, the later
+/// state.
 struct MemberRecord {
     MemberInfo info;
-    std::uint64_t incarnation = 0;  ///< Raised only by the member itself.
+    std::uint64_t incarnation = 0;  ///< Incremented only by the member itself.
     MemberState state = MemberState::kAlive;
 
     bool operator==(const MemberRecord&) const = default;
     /// Whether this record replaces `other` about the same member.
     bool supersedes(const MemberRecord& other) const;
-    /// Whether calls and duties may go to the member.
+    /// Whether calls and duties may be assigned to the member.
     bool takes_new_work() const { return state == MemberState::kAlive || state == MemberState::kSuspect; }
 
     template <typename Archive>
--- a/src/membership/member_list.cpp
+++ b/src/membership/member_list.cpp
@@ -7,7 +7,7 @@
 namespace anisehold::membership {
 namespace {
 
-/// A record is sent in this many messages for each doubling of the fleet's size. Chosen, not measured.
+/// Number of messages that carry an update for each doubling of the fleet size.
 constexpr unsigned kTransmissionFactor = 3;
 
 }  // namespace
@@ -82,7 +82,7 @@
     }
 }
 
-void MemberList::forget_gone(TimePoint now, Duration age) {
+void MemberList::remove_gone(TimePoint now, Duration age) {
     ++version_;
     std::erase_if(others_, [&](const auto& entry) {
         return is_gone(entry.second.record.state) && now - entry.second.changed_at >= age;
@@ -109,7 +109,7 @@
     updates_.push_back({id, 0});
 }
 
-std::vector<MemberRecord> MemberList::pick_updates(std::size_t most) {
+std::vector<MemberRecord> MemberList::pick_updates(std::size_t max_count) {
     const auto known = static_cast<unsigned>(others_.size() + 1);
     const unsigned limit = kTransmissionFactor * static_cast<unsigned>(std::bit_width(known));
     std::stable_sort(updates_.begin(), updates_.end(), [](const Update& left, const Update& right) {
@@ -117,7 +117,7 @@
     });
     std::vector<MemberRecord> picked;
     for (auto& update : updates_) {
-        if (picked.size() == most) {
+        if (picked.size() == max_count) {
             break;
         }
         ++update.transmissions;
--- a/src/membership/member_list.hpp
+++ b/src/membership/member_list.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What one member knows of all members, and which of it is still to be spread. Owns the records; decides by
-/// incarnation and state which of two records of a member holds, and relies on its user for when a member is
+/// Membership list of one member and its queue of updates to disseminate. Owns the records and resolves
+/// conflicting records of a member by incarnation and state; relies on its user to decide when a member is
 /// suspected.
 #pragma once
 
@@ -16,16 +16,16 @@
 
 namespace anisehold::membership {
 
-/// A change in what is known about a member.
+/// A change of a member's record.
 struct MembershipEvent {
     MemberRecord record;
-    std::optional<MemberState> before;  ///< Nothing for a member not known before.
+    std::optional<MemberState> before;  ///< Empty for a newly discovered member.
 };
 
-/// Whether a record that was learned is spread further.
+/// Whether a learned record is disseminated to other members.
 enum class Spread { kYes, kNo };
 
-/// Whether a member is known to take part no more.
+/// Whether a member has died or left.
 inline bool is_gone(MemberState state) {
     return state == MemberState::kDead || state == MemberState::kLeft;
 }
@@ -41,31 +41,33 @@
     MemberList(MemberInfo self, std::uint64_t incarnation)
         : self_{std::move(self), incarnation, MemberState::kAlive} {}
 
-    /// Takes in a record; true if its member wasn't known. A wrong one of this member itself is refuted.
+    /// Merges a record and returns true if its member was unknown. A wrong record of the local member is
+    /// refuted.
     bool learn(TimePoint now, const MemberRecord& record, Spread spread);
-    /// Refutes a record of this member that isn't its own, by a higher incarnation.
+    /// Refutes a foreign record of the local member by raising the incarnation above the record's.
     void learn_about_self(const MemberRecord& record);
-    /// Changes the own state.
+    /// Changes the local member's state.
     void set_own_state(MemberState state);
-    /// A member didn't answer. No effect on one that is suspected or gone.
+    /// Marks a member that did not answer as suspect. No effect on a member that is already suspect, dead or
+    /// left.
     void suspect(TimePoint now, const std::string& id);
-    /// Declares members dead that were suspected for `timeout`.
+    /// Declares members dead that have been suspect for `timeout`.
     void expire_suspicions(TimePoint now, Duration timeout);
-    /// Drops members that have been gone for `age`.
-    void forget_gone(TimePoint now, Duration age);
-    /// This process was paused: what is measured in time since a change isn't counted for the pause.
+    /// Removes members that have been dead or left for `age`.
+    void remove_gone(TimePoint now, Duration age);
+    /// Shifts all change times by a pause of this process, so that the pause does not count towards timeouts.
     void shift_changes(Duration pause);
-    /// At most `most` records to spread with one message, those that were sent least often first.
-    std::vector<MemberRecord> pick_updates(std::size_t most);
+    /// At most `max_count` records to piggyback on one message, least transmitted first.
+    std::vector<MemberRecord> pick_updates(std::size_t max_count);
 
     const MemberRecord& self() const { return self_; }
-    /// Members without the own one, by id.
+    /// All members except the local one, by id.
     const std::map<std::string, Member>& others() const { return others_; }
-    /// Ids of the others that aren't gone, without `except`.
+    /// Ids of the other members that have neither died nor left, excluding `except`.
     std::vector<std::string> present_ids(const std::string& except) const;
-    /// Rises with each change of any record.
+    /// Incremented with each change of any record.
     std::uint64_t version() const { return version_; }
-    /// All known members, the own one first.
+    /// All known members, the local one first.
     std::vector<MemberRecord> records() const;
     /// Null for an unknown member.
     const MemberRecord* find(const std::string& id) const;
@@ -73,7 +75,7 @@
     std::vector<MembershipEvent> take_events();
 
   private:
-    /// A record that is to be spread.
+    /// A record queued for dissemination.
     struct Update {
         std::string id;
         unsigned transmissions = 0;
--- a/src/membership/peer_directory.cpp
+++ b/src/membership/peer_directory.cpp
@@ -7,32 +7,33 @@
 namespace anisehold::membership {
 namespace {
 
-/// Periods without a record after which a peer counts as silent: single datagrams get lost. Chosen, not
-/// measured.
+/// Periods without a record after which a peer is considered silent; more than one because single datagrams
+/// get lost.
 constexpr double kSilentPeriods = 3.5;
 
-/// Usual servers of a service: enough that the least loaded of two of them has free slots, few enough that
-/// each is used every few hundred milliseconds. Subsets by rendezvous hash spread evenly over the servers. In
-/// place of draws from all, in a fleet of 295 for 3 s: 46.6 s of processor time in place of 51.6 s, and the
-/// busiest server still had 2.2 times the mean. The two numbers themselves are chosen.
-constexpr std::size_t kUsualNear = 6;
-constexpr std::size_t kUsualFar = 3;
-/// How long a view is used: a peer that has just fallen silent stays in it for as long. Chosen, not measured.
+/// Number of preferred servers of a service: enough that the less loaded of two of them has free slots, few
+/// enough that each is used every few hundred milliseconds. Subsets chosen by rendezvous hash spread evenly
+/// over the servers. Compared with draws from all servers, a fleet of 295 used 46.6 s instead of 51.6 s of
+/// processor time in 3 s, and the busiest server still had 2.2 times the mean load.
+constexpr std::size_t kPreferredLocal = 6;
+constexpr std::size_t kPreferredRemote = 3;
+/// Lifetime of a cached view; a peer that has just become silent stays in the view for up to this time.
 constexpr milliseconds kViewLifetime{100};
 
-/// A silent peer counts as a member for so long after it became unreachable: longer than a cut that heals is
-/// expected to last, so that its smaller side knows itself to be that. Chosen, not measured.
-constexpr milliseconds kSilentMember{12'000};
-/// The same for one that was only listed: a machine that is gone may stand in the listing for long. Chosen,
-/// not measured.
-constexpr milliseconds kUnheardMember{5'000};
+/// How long a peer is considered a member after it became unreachable: longer than a transient network
+/// partition is expected to last, so that the smaller side of the partition recognizes itself as the
+/// minority.
+constexpr milliseconds kSilentMemberGrace{12'000};
+/// How long a peer is considered a member if it was only listed and never sent a record: a listing may
+/// contain a machine long after it is gone.
+constexpr milliseconds kUnseenMemberGrace{5'000};
 
-/// Puts the `most` servers of the highest affinity first; returns how many that are.
-std::size_t bring_usual_to_front(std::vector<const KnownServer*>& servers, std::size_t most) {
-    const auto count = std::min(most, servers.size());
-    const auto usual_end = servers.begin() + static_cast<std::ptrdiff_t>(count);
+/// Moves the `max_count` servers of the highest affinity to the front and returns their number.
+std::size_t move_preferred_to_front(std::vector<const KnownServer*>& servers, std::size_t max_count) {
+    const auto count = std::min(max_count, servers.size());
+    const auto preferred_end = servers.begin() + static_cast<std::ptrdiff_t>(count);
     std::partial_sort(
-        servers.begin(), usual_end, servers.end(),
+        servers.begin(), preferred_end, servers.end(),
         [](const KnownServer* left, const KnownServer* right) { return left->affinity > right->affinity; });
     return count;
 }
@@ -40,7 +41,7 @@
 }  // namespace
 
 Duration PeerDirectory::silent_after(const Peer& peer) const {
-    const std::chrono::duration<double> period(is_near(peer) ? periods_.local : periods_.remote);
+    const std::chrono::duration<double> period(is_in_local_zone(peer) ? periods_.local : periods_.remote);
     return std::max<Duration>(times_.silent_after,
                               std::chrono::duration_cast<Duration>(kSilentPeriods * period));
 }
@@ -48,7 +49,7 @@
 PeerCounts PeerDirectory::counts() const {
     PeerCounts counts;
     for (const auto& [name, peer] : peers_) {
-        ++(is_near(peer) ? counts.local : counts.remote);
+        ++(is_in_local_zone(peer) ? counts.local : counts.remote);
     }
     return counts;
 }
@@ -58,7 +59,7 @@
 }
 
 bool PeerDirectory::reachable(TimePoint now, const Peer& peer) const {
-    return peer.was_heard && !peer.unreachable && now - peer.last_seen < silent_after(peer);
+    return peer.was_seen && !peer.unreachable && now - peer.last_seen < silent_after(peer);
 }
 
 bool PeerDirectory::takes_requests(TimePoint now, const Peer& peer) const {
@@ -80,8 +81,8 @@
     take_servers(now, peer, record, change == PeerChange::kRefreshed);
     peer.record = std::move(record);
     peer.last_seen = now;
-    peer.learned = now;
-    peer.was_heard = true;
+    peer.learned_at = now;
+    peer.was_seen = true;
     peer.unreachable = false;
     if (change == PeerChange::kAppeared) {
         count_peers();
@@ -90,7 +91,7 @@
 }
 
 PeerChange PeerDirectory::change_by(TimePoint now, const Peer& peer, const PeerRecord& record) const {
-    const bool same_boot = peer.was_heard && peer.record.boot_id == record.boot_id;
+    const bool same_boot = peer.was_seen && peer.record.boot_id == record.boot_id;
     if (same_boot && record.sequence <= peer.record.sequence) {
         return PeerChange::kNone;
     }
@@ -137,7 +138,7 @@
     Peer peer;
     peer.record.name = address.name;
     peer.record.gossip = address.gossip;
-    peer.learned = now;
+    peer.learned_at = now;
     peers_.emplace(address.name, std::move(peer));
     count_peers();
 }
@@ -167,11 +168,11 @@
 }
 
 void PeerDirectory::expire(TimePoint now) {
-    const auto forgotten = std::erase_if(peers_, [&](const auto& entry) {
+    const auto removed = std::erase_if(peers_, [&](const auto& entry) {
         const auto& peer = entry.second;
-        return now - (peer.was_heard ? peer.last_seen : peer.learned) > times_.forgotten_after;
+        return now - (peer.was_seen ? peer.last_seen : peer.learned_at) > times_.remove_after;
     });
-    if (forgotten > 0) {
+    if (removed > 0) {
         views_.clear();
         count_peers();
     }
@@ -204,8 +205,8 @@
         }
     }
     view.mean_latency_us = measured > 0 ? latencies / measured : 0;
-    view.preferred_local = bring_usual_to_front(view.local, kUsualNear);
-    view.preferred_remote = bring_usual_to_front(view.remote, kUsualFar);
+    view.preferred_local = move_preferred_to_front(view.local, kPreferredLocal);
+    view.preferred_remote = move_preferred_to_front(view.remote, kPreferredRemote);
     return view;
 }
 
@@ -225,7 +226,7 @@
 std::vector<PeerAddress> PeerDirectory::local_zone_addresses() const {
     std::vector<PeerAddress> addresses;
     for (const auto& [name, peer] : peers_) {
-        if (is_near(peer)) {
+        if (is_in_local_zone(peer)) {
             addresses.push_back({name, peer.record.gossip});
         }
     }
@@ -235,7 +236,7 @@
 std::vector<PeerAddress> PeerDirectory::reachable_in_local_zone(TimePoint now) const {
     std::vector<PeerAddress> addresses;
     for (const auto& [name, peer] : peers_) {
-        if (is_near(peer) && takes_requests(now, peer)) {
+        if (is_in_local_zone(peer) && takes_requests(now, peer)) {
             addresses.push_back({name, peer.record.gossip});
         }
     }
@@ -243,10 +244,10 @@
 }
 
 bool PeerDirectory::is_member(TimePoint now, const Peer& peer) const {
-    if (!peer.was_heard) {
-        return now - peer.learned < kUnheardMember;
+    if (!peer.was_seen) {
+        return now - peer.learned_at < kUnseenMemberGrace;
     }
-    return !peer.record.leaving && now - peer.last_seen < silent_after(peer) + kSilentMember;
+    return !peer.record.leaving && now - peer.last_seen < silent_after(peer) + kSilentMemberGrace;
 }
 
 std::vector<FleetMember> PeerDirectory::members(TimePoint now) const {
@@ -257,7 +258,7 @@
             continue;
         }
         members.push_back({name, peer.record.gossip, peer.last_seen, takes_requests(now, peer),
-                           peer.record.watches_store, is_near(peer)});
+                           peer.record.watches_store, is_in_local_zone(peer)});
     }
     return members;
 }
@@ -265,7 +266,7 @@
 bool PeerDirectory::any_watch_in_local_zone(TimePoint now) const {
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
         const auto& peer = entry.second;
-        return peer.record.watches_store && is_near(peer) && reachable(now, peer);
+        return peer.record.watches_store && is_in_local_zone(peer) && reachable(now, peer);
     });
 }
 
--- a/src/membership/peer_directory.hpp
+++ b/src/membership/peer_directory.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The daemons that this sidecar knows, and the servers beside them. Owns the latest record of each peer;
-/// relies on records, on the store's listing and on failed connections being reported to it. It decides which
-/// servers of a service are preferred; selection/ chooses among them.
+/// Directory of the peer daemons known to this sidecar and of their local servers. Owns the latest record of
+/// each peer and decides which servers of a service are preferred (selection/ chooses among them). Relies on
+/// its user to report records, store listings and failed connections.
 #pragma once
 
 #include <map>
@@ -14,62 +14,61 @@
 
 namespace anisehold::membership {
 
-/// How long a peer may be silent before it counts as unreachable, and as gone.
+/// Silence after which a peer is considered unreachable, and after which it is removed.
 struct PeerTimes {
-    milliseconds silent_after{3'500};  ///< At least; in a large fleet it grows with the period of records.
-    milliseconds forgotten_after{600'000};  ///< Chosen, not measured.
+    milliseconds silent_after{3'500};  ///< Lower bound; grows with the record period in a large fleet.
+    milliseconds remove_after{600'000};
 };
 
-/// A server that requests can be sent to, with the age of what is known of it.
+/// A server that requests can be sent to, with the time of its latest record.
 struct KnownServer {
     ServerRecord server;
-    std::string peer;  ///< Name of the daemon beside it.
+    std::string peer;  ///< Name of the server's daemon.
     std::string zone;
     Endpoint call;
     std::uint64_t boot_id = 0;
-    TimePoint last_seen;  ///< When its daemon's record came.
-    std::uint64_t affinity =
-        0;  ///< Rank of the server for this daemon: the same at every look, random among daemons.
+    TimePoint last_seen;         ///< When the latest record of the server's daemon arrived.
+    std::uint64_t affinity = 0;  ///< Rank for this daemon; stable, random across daemons.
 };
 
-/// The servers of one service that requests can be sent to. The pointers hold until the directory changes, so
-/// a view isn't kept while its fiber waits.
+/// The servers of one service that requests can be sent to. The pointers are valid until the directory
+/// changes, so a view must not be held while its fiber waits.
 ///
-/// The usual servers come first: a few of each list, by affinity, so that connections to them stay warm and
-/// their number doesn't grow with the fleet.
+/// The preferred servers come first in each list: a few of the highest affinity, so that connections to them
+/// stay warm and the number of connections does not grow with the fleet.
 struct ServiceView {
-    std::vector<const KnownServer*> local;   ///< In the own zone.
-    std::vector<const KnownServer*> remote;  ///< In the others.
-    std::size_t preferred_local = 0;         ///< How many of `local` are usual.
-    std::size_t preferred_remote = 0;        ///< The same of `remote`.
-    const KnownServer* own = nullptr;        ///< The one beside this daemon; also in `local`.
-    double mean_latency_us = 0;              ///< Of those that were measured; 0 if none was.
+    std::vector<const KnownServer*> local;   ///< Servers in the local zone.
+    std::vector<const KnownServer*> remote;  ///< Servers in other zones.
+    std::size_t preferred_local = 0;         ///< Number of preferred servers at the front of `local`.
+    std::size_t preferred_remote = 0;        ///< Number of preferred servers at the front of `remote`.
+    const KnownServer* own = nullptr;        ///< The local server of this daemon; also in `local`.
+    double mean_latency_us = 0;  ///< Mean over servers with a measured latency; 0 if there are none.
 
     bool empty() const { return local.empty() && remote.empty(); }
 };
 
-/// What a record changed.
+/// Effect of a record on the directory.
 enum class PeerChange {
-    kNone,            ///< Late, or received before.
-    kRefreshed,       ///< Only load or sequence.
-    kAppeared,        ///< A new peer, a new boot, or one heard again after silence.
-    kServersChanged,  ///< Its servers or its leaving changed.
+    kNone,            ///< The record was outdated or a duplicate.
+    kRefreshed,       ///< Only the load or the sequence number changed.
+    kAppeared,        ///< A new peer, a new boot, or a peer seen again after silence.
+    kServersChanged,  ///< The peer's servers or its leaving state changed.
 };
 
-/// Address of a peer that may not have been heard yet.
+/// Address of a peer from which no record may have been received yet.
 struct PeerAddress {
     std::string name;
     Endpoint gossip;
 };
 
-/// A peer that counts as a member of the fleet.
+/// A peer that is considered a member of the fleet.
 struct FleetMember {
     std::string name;
     Endpoint gossip;
     TimePoint last_seen;
-    bool takes_requests = false;  ///< Reachable, and not leaving.
+    bool takes_requests = false;  ///< The peer is reachable and not leaving.
     bool watches_store = false;
-    bool local = false;  ///< Of the own zone.
+    bool local = false;  ///< The peer is in the local zone.
 };
 
 /// Keeps the latest record of each peer. Pure.
@@ -78,21 +77,21 @@
     PeerDirectory(std::string own_name, std::string own_zone, PeerTimes times)
         : own_name_(std::move(own_name)), own_zone_(std::move(own_zone)), times_(times) {}
 
-    /// A record came from its own daemon.
+    /// Handles a record received from the daemon that it describes.
     PeerChange on_record(TimePoint now, PeerRecord record);
-    /// An address was read from the store; nothing is known of its daemon's state.
+    /// Handles an address read from the store, which carries no state of its daemon.
     void on_address(TimePoint now, const PeerAddress& address);
-    /// A connection to the peer failed: it counts as unreachable until it is heard again.
+    /// Marks a peer unreachable after a failed connection, until its next record arrives.
     void on_unreachable(const std::string& name, std::uint64_t boot_id);
-    /// Newer load of a server, which came with an answer.
+    /// Updates the load of a server from a response.
     void on_load(const std::string& name, const ServerRecord& server);
-    /// Forgets peers that were silent for long.
+    /// Removes peers that have been silent for too long.
     void expire(TimePoint now);
 
-    /// Servers of `service` beside reachable peers that aren't leaving. Made anew after a change and every
-    /// tenth of a second, so that the cost of a choice doesn't grow with the fleet.
+    /// Servers of `service` at reachable peers that are not leaving. The view is rebuilt after a change and
+    /// every tenth of a second, so that the cost of a selection does not grow with the fleet.
     const ServiceView& servers_of(TimePoint now, const std::string& service) const;
-    /// Calls `visit(record)` for each server beside a reachable peer that isn't leaving.
+    /// Calls `visit(record)` for each server at a reachable peer that is not leaving.
     template <typename Visit>
     void for_each_server(TimePoint now, Visit visit) const {
         for (const auto& [name, peer] : peers_) {
@@ -104,31 +103,31 @@
             }
         }
     }
-    /// Where records go: all known peers, silent ones too, so that one that restarts is found.
+    /// Destinations of records: all known peers, including silent ones, so that a restarted peer is found.
     std::vector<PeerAddress> addresses() const;
-    /// The same for the peers of the own zone alone.
+    /// Addresses of the peers in the local zone only.
     std::vector<PeerAddress> local_zone_addresses() const;
     PeerCounts counts() const;
-    /// Peers heard lately.
+    /// Number of reachable peers.
     std::size_t reachable_count(TimePoint now) const;
     std::size_t known_count() const { return peers_.size(); }
     bool knows(const std::string& name) const { return peers_.contains(name); }
-    /// The reachable peers of the own zone that aren't leaving.
+    /// The reachable peers of the local zone that are not leaving.
     std::vector<PeerAddress> reachable_in_local_zone(TimePoint now) const;
-    /// Peers that haven't left, by name, reachable or not; one that is silent for long isn't counted any
-    /// more.
+    /// Peers that have not left, ordered by name, whether reachable or not. Peers that have been silent for
+    /// too long are excluded.
     std::vector<FleetMember> members(TimePoint now) const;
-    /// Whether a reachable peer of the own zone has a working watch of the store. Those of other zones aren't
-    /// counted: their silence is noticed late.
+    /// Whether a reachable peer of the local zone has a working store watch. Peers of other zones are
+    /// excluded because their silence is detected late.
     bool any_watch_in_local_zone(TimePoint now) const;
 
   private:
     struct Peer {
-        PeerRecord record;  ///< Without its servers, which are kept as they are handed out.
+        PeerRecord record;  ///< Excludes the servers, which are stored in the form that views refer to.
         std::vector<KnownServer> servers;
         TimePoint last_seen;
-        TimePoint learned;
-        bool was_heard = false;
+        TimePoint learned_at;
+        bool was_seen = false;
         bool unreachable = false;
     };
 
@@ -141,12 +140,12 @@
     bool takes_requests(TimePoint now, const Peer& peer) const;
     static bool has_same_servers(const Peer& peer, const PeerRecord& record);
     PeerChange change_by(TimePoint now, const Peer& peer, const PeerRecord& record) const;
-    /// Moves the record's servers to the peer. Their affinities are kept while they are the same servers.
+    /// Moves the record's servers to the peer. Affinities are kept if the servers are the same.
     void take_servers(TimePoint now, Peer& peer, PeerRecord& record, bool same_servers) const;
-    bool is_near(const Peer& peer) const { return peer.was_heard && peer.record.zone == own_zone_; }
+    bool is_in_local_zone(const Peer& peer) const { return peer.was_seen && peer.record.zone == own_zone_; }
     Duration silent_after(const Peer& peer) const;
     bool is_member(TimePoint now, const Peer& peer) const;
-    /// Brings `periods_` up to date after a change of the peers.
+    /// Updates `periods_` after a change of the peers.
     void count_peers();
     ServiceView make_view(TimePoint now, const std::string& service) const;
 
@@ -154,8 +153,9 @@
     std::string own_zone_;
     PeerTimes times_;
     std::map<std::string, Peer> peers_;
-    RecordPeriods periods_ = record_periods({});       ///< Of calm times, by which silence is judged.
-    mutable std::map<std::string, CachedView> views_;  ///< By service; emptied by every change of servers.
+    RecordPeriods periods_ =
+        record_periods({});  ///< Periods without pressure, from which silence timeouts are derived.
+    mutable std::map<std::string, CachedView> views_;  ///< By service; cleared by every change of servers.
 };
 
 }  // namespace anisehold::membership
--- a/src/membership/peer_record.cpp
+++ b/src/membership/peer_record.cpp
@@ -5,7 +5,7 @@
 namespace anisehold::membership {
 namespace {
 
-/// First byte of every datagram; another one means another layout.
+/// First byte of every datagram; identifies the layout.
 constexpr char kLayout = 'D';
 
 }  // namespace
--- a/src/membership/record_periods.hpp
+++ b/src/membership/record_periods.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// How often a sidecar sends its peers its record: often enough to notice silence, seldom enough that the
-/// cost doesn't grow with the fleet. Pure; the sidecar sends by it, and the directory judges silence by it.
+/// Intervals at which a sidecar sends its record to its peers: short enough to detect silence, long enough
+/// that the cost does not grow with the fleet. Owns no state. The sidecar sends by these intervals, and the
+/// directory derives its silence timeouts from them. Pure.
 #pragma once
 
 #include <cstddef>
@@ -9,24 +10,24 @@
 
 namespace anisehold::membership {
 
-/// Peers that are sent records, by where they are.
+/// Number of peers that receive records, by zone.
 struct PeerCounts {
-    std::size_t local = 0;   ///< Of the own zone.
-    std::size_t remote = 0;  ///< Of other zones, or not heard yet.
+    std::size_t local = 0;   ///< Peers in the local zone.
+    std::size_t remote = 0;  ///< Peers in other zones or not seen yet.
 };
 
-/// How often a daemon sends its peers its record.
+/// Intervals at which a daemon sends its record to its peers.
 struct RecordPeriods {
-    Duration local{};   ///< Peers of the own zone, which are sent most requests.
-    Duration remote{};  ///< The others.
+    Duration local{};   ///< Interval for peers in the local zone, which receive most requests.
+    Duration remote{};  ///< Interval for all other peers.
 };
 
-/// Once a second to each, and more slowly in a large fleet, so that no daemon sends more than forty records a
-/// second. While services lack capacity all are sent records at the same period, which is shorter: the limit
-/// of root requests rests on the counts of the whole fleet.
+/// One second per peer, longer in a large fleet, so that no daemon sends more than forty records a second.
+/// While services are short of capacity, all peers get the same, shorter interval, because the limit of root
+/// requests is computed from the counts of the whole fleet.
 RecordPeriods record_periods(const PeerCounts& peers, bool under_pressure = false);
 
-/// Least time between two announcements to all peers: as many records a second as under pressure.
+/// Minimum time between two announcements to all peers; allows as many records per second as under pressure.
 Duration min_announcement_gap(const PeerCounts& peers);
 
 }  // namespace anisehold::membership
--- a/src/membership/server_notices.cpp
+++ b/src/membership/server_notices.cpp
@@ -5,8 +5,8 @@
 namespace anisehold::membership {
 namespace {
 
-/// Longer than a server goes on after its last answer.
-constexpr seconds kRemembered{600};
+/// Retention of notices; longer than a server runs on after its last response.
+constexpr seconds kNoticeRetention{600};
 
 }  // namespace
 
@@ -45,8 +45,9 @@
 
 void ServerNotices::expire(TimePoint now) {
     std::erase_if(rates_,
-                  [&](const auto& entry) { return now - entry.second.start.last_seen > kRemembered; });
-    std::erase_if(leaving_, [&](const auto& entry) { return now - entry.second.last_seen > kRemembered; });
+                  [&](const auto& entry) { return now - entry.second.start.last_seen > kNoticeRetention; });
+    std::erase_if(leaving_,
+                  [&](const auto& entry) { return now - entry.second.last_seen > kNoticeRetention; });
 }
 
 }  // namespace anisehold::membership
--- a/src/membership/server_notices.hpp
+++ b/src/membership/server_notices.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// What servers said of themselves in the answers that this daemon got. Their own daemons may have forgotten
-/// it: those restart. Owns the latest notices of each start of a server; relies on being told of answers.
-/// Pure.
+/// Rate limits and leaving notices that servers reported in responses to this daemon. The servers' own
+/// daemons lose this state when they restart. Owns the latest notices of each server start; relies on its
+/// user to report responses. Pure.
 #pragma once
 
 #include <cstdint>
@@ -15,28 +15,29 @@
 
 namespace anisehold::membership {
 
-/// By instance and start. Where a start isn't known, it is taken for the one that is.
+/// Notices by instance and start. An unknown start matches the known start of the instance.
 class ServerNotices {
   public:
-    /// The server answered, and takes this rate; nothing if it named none.
+    /// Records the rate limit in a server's response; empty if the response had none.
     void on_rate(TimePoint now, const ServerRecord& server, std::optional<RequestRate> rate);
-    /// The rate that it named last.
+    /// The latest rate limit reported by the server.
     std::optional<RequestRate> rate_of(const ServerRecord& server) const;
 
-    /// The server said that it leaves. Final for its start.
+    /// Records that the server is leaving, which is final for its start.
     void on_leaving(TimePoint now, const ServerRecord& server);
-    /// Whether it said so. If its start wasn't known then, it is remembered as the one that is asked for.
+    /// Whether the server reported that it is leaving. If the notice had no start time, the first start time
+    /// queried is stored with it.
     bool is_leaving(const ServerRecord& server);
-    /// Whether any server said so.
+    /// Whether any server reported that it is leaving.
     bool has_leaving() const { return !leaving_.empty(); }
 
-    /// Forgets servers of which nothing was heard for long.
+    /// Removes servers without recent notices.
     void expire(TimePoint now);
 
   private:
-    /// A start of a server, and when it said something.
+    /// A server start and the time of its latest notice.
     struct Start {
-        std::uint64_t start_time = 0;  ///< 0: unknown.
+        std::uint64_t start_time = 0;  ///< 0 if unknown.
         TimePoint last_seen;
     };
     struct NamedRate {
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -6,19 +6,17 @@
 namespace anisehold::membership {
 namespace {
 
-// All chosen, not measured.
-
-/// Members that are asked to ping one that didn't answer.
+/// Number of members asked to ping a member that did not answer.
 constexpr std::size_t kIndirectProbes = 3;
-/// Periods between two pings of a dead member and of seeds that aren't known as members.
+/// Periods between pings to dead members and to seeds that are not known members.
 constexpr unsigned kRecontactPeriods = 10;
-/// Dead and left members are dropped after this.
-constexpr seconds kForgetAfter{3'600};
-/// Highest local health: a member that is this slow itself suspects others this many periods later.
+/// Dead and left members are removed after this time.
+constexpr seconds kRemoveGoneAfter{3'600};
+/// Maximum local health count: a member this slow suspects others this many periods later.
 constexpr unsigned kMaxLocalHealth = 8;
-/// Members that a change of this one is announced to at once; gossip brings it to the others.
+/// Number of members notified at once of a change of the local member; gossip informs the others.
 constexpr std::size_t kAnnounceFanout = 4;
-/// A gap between ticks longer than this many periods means that this process was paused.
+/// A gap between ticks of more than this many periods means that the process was paused.
 constexpr int kPausePeriods = 2;
 
 }  // namespace
@@ -42,7 +40,7 @@
         start_probe(now, out);
         if (periods_ % kRecontactPeriods == 1) {
             recontact(out);
-            forget_old(now);
+            remove_expired(now);
         }
     }
     return out;
@@ -52,7 +50,7 @@
     if (!last_tick_ || now - *last_tick_ <= kPausePeriods * config_.period_ms) {
         return;
     }
-    // Answers that came while this process was paused were lost; nobody is suspected for their absence.
+    // Acks that arrived during the pause were lost, so no member is suspected for a missing ack.
     const Duration pause = now - *last_tick_;
     probe_.reset();
     members_.shift_changes(pause);
@@ -116,8 +114,8 @@
     }
 }
 
-void Swim::forget_old(TimePoint now) {
-    members_.forget_gone(now, kForgetAfter);
+void Swim::remove_expired(TimePoint now) {
+    members_.remove_gone(now, kRemoveGoneAfter);
     std::erase_if(relays_,
                   [&](const auto& entry) { return now - entry.second.started_at >= 2 * config_.period_ms; });
 }
@@ -190,7 +188,7 @@
     if (!members_.learn(now, record, spread)) {
         return;
     }
-    // A new member is probed at a random position of the round.
+    // Inserts a new member at a random position of the probe round.
     const auto position = random_() % (probe_order_.size() + 1);
     probe_order_.insert(probe_order_.begin() + static_cast<std::ptrdiff_t>(position), record.info.id);
 }
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Membership by SWIM (Das, Gupta, Motivala, 2002): ping, indirect ping, suspicion, incarnation numbers;
-/// with Lifeguard's local health (Dadgar et al., 2018), so that a slow member doubts itself first.
-/// Owns the probes and the list of members; the daemon sends its datagrams and gives it the time.
+/// Failure detection and membership by SWIM (Das, Gupta, Motivala, 2002): ping, indirect ping, suspicion and
+/// incarnation numbers, with the local health multiplier of Lifeguard (Dadgar et al., 2018), by which a slow
+/// member suspects others later. Owns the probes and the membership list; relies on the daemon to send
+/// datagrams and to supply the time.
 #pragma once
 
 #include <cstdint>
@@ -31,37 +32,39 @@
     GossipMessage message;
 };
 
-/// The state machine of one member. Pure: time and messages in, messages out.
+/// State machine of one member. Pure: time and messages in, messages out.
 class Swim {
   public:
-    /// `incarnation` must exceed that of any earlier process with this id; the wall clock in milliseconds
-    /// will do, since a member that hears of a higher one raises its own.
+    /// `incarnation` must exceed that of any earlier process with this id. The wall clock in milliseconds
+    /// suffices: a member that receives a record of itself with a higher incarnation raises its own.
     Swim(SwimConfig config, MemberInfo self, std::uint64_t incarnation, std::uint64_t random_seed);
 
-    /// Advances timers; call at least four times in a period.
+    /// Advances timers; call at least four times per period.
     std::vector<Datagram> tick(TimePoint now);
-    /// Takes in a message that came from `from`.
+    /// Handles a message received from `from` and returns the replies.
     std::vector<Datagram> receive(TimePoint now, const Endpoint& from, const GossipMessage& message);
-    /// Takes in all records of another member, its own first. Only that one is spread further: the others
-    /// are known to the fleet, and spreading them again would fill messages for minutes.
+    /// Merges all records of another member, whose own record comes first. Only the sender's own record is
+    /// disseminated: the fleet already knows the others, and resending them would fill messages for minutes.
     void merge(TimePoint now, const std::vector<MemberRecord>& records);
-    /// Announces the planned stop: `kLeaving` first, `kLeft` at the end.
+    /// Announces a planned shutdown: `kLeaving` first, `kLeft` at the end.
     std::vector<Datagram> announce_self(MemberState state);
-    /// Revisions to carry in messages; announces a raised one to a few members at once.
+    /// Sets the document revisions carried in messages and announces a raised revision to a few members at
+    /// once.
     std::vector<Datagram> set_revisions(const DocumentRevisions& revisions);
 
     const MemberRecord& self() const { return members_.self(); }
-    /// Rises with each change of any record, so that what is derived from them can be kept.
+    /// Incremented with each change of any record, so that callers can cache values derived from the records.
     std::uint64_t version() const { return members_.version(); }
-    /// All known members, the own one first.
+    /// All known members, the local one first.
     std::vector<MemberRecord> records() const { return members_.records(); }
     /// Null for an unknown member.
     const MemberRecord* find(const std::string& id) const { return members_.find(id); }
-    /// Members that take new work, the own one included while it does.
+    /// Members that accept new work, including the local member while it does.
     std::vector<MemberRecord> working_members() const;
     /// Changes since the last call.
     std::vector<MembershipEvent> take_events() { return members_.take_events(); }
-    /// A random other member that isn't gone, to exchange full lists with; nothing if there is none.
+    /// A random other member that has neither died nor left, for a full list exchange; empty if there is
+    /// none.
     std::optional<MemberInfo> random_peer();
 
   private:
@@ -72,7 +75,7 @@
         bool indirect_sent = false;
         bool acknowledged = false;
     };
-    /// A ping that was sent for another member, which waits for the answer.
+    /// A ping sent on behalf of another member that awaits its ack.
     struct Relay {
         std::uint64_t original_sequence = 0;
         Endpoint requester;
@@ -84,12 +87,12 @@
     void advance_probe(TimePoint now, std::vector<Datagram>& out);
     void end_probe(TimePoint now);
     void recontact(std::vector<Datagram>& out);
-    void forget_old(TimePoint now);
+    void remove_expired(TimePoint now);
     void on_ack(std::uint64_t sequence, std::vector<Datagram>& out);
     std::vector<Datagram> announce();
     void learn(TimePoint now, const MemberRecord& record, Spread spread);
     GossipMessage make_message(GossipType type, std::uint64_t sequence, const std::string& receiver_id);
-    /// Where another member takes datagrams.
+    /// Gossip address of another member.
     const Endpoint& peer_address(const std::string& id) const {
         return members_.others().at(id).record.info.peer;
     }
@@ -107,7 +110,7 @@
     std::mt19937_64 random_;
     std::uint64_t next_sequence_ = 1;
     std::uint64_t periods_ = 0;
-    unsigned local_health_ = 0;  // 0 is healthy; each failed probe of our own raises it.
+    unsigned local_health_ = 0;  // 0 is healthy; each failed probe by this member increments it.
     std::optional<TimePoint> last_tick_;
     TimePoint period_started_;
 };
--- a/tests/unit/membership/peer_directory_test.cpp
+++ b/tests/unit/membership/peer_directory_test.cpp
@@ -53,7 +53,7 @@
     CHECK(peers.servers_of(kStart, "orders").local.front()->boot_id == 2);
 }
 
-TEST_CASE("a silent peer is unreachable but still sent to") {
+TEST_CASE("a silent peer is unreachable but still receives records") {
     auto peers = directory();
     peers.on_record(kStart, record("a", 1, 1));
     CHECK(peers.servers_of(kStart + seconds(4), "orders").empty());
@@ -64,7 +64,7 @@
     CHECK(peers.addresses().empty());
 }
 
-TEST_CASE("a failed connection makes a peer unreachable until it is heard again") {
+TEST_CASE("a failed connection makes a peer unreachable until its next record") {
     auto peers = directory();
     peers.on_record(kStart, record("a", 1, 1));
     peers.on_unreachable("a", 2);
@@ -75,7 +75,7 @@
     CHECK(peers.servers_of(kStart, "orders").local.size() == 1);
 }
 
-TEST_CASE("a leaving peer's server gets nothing new") {
+TEST_CASE("a leaving peer's server gets no new requests") {
     auto peers = directory();
     auto leaving = record("a", 1, 1);
     leaving.leaving = true;
@@ -83,7 +83,7 @@
     CHECK(peers.servers_of(kStart, "orders").empty());
 }
 
-TEST_CASE("an address from the store doesn't replace what was heard") {
+TEST_CASE("an address from the store doesn't replace a received record") {
     auto peers = directory();
     peers.on_record(kStart, record("a", 1, 1));
     peers.on_address(kStart, {"a", {"10.9.9.9", 9}});
@@ -94,7 +94,7 @@
     CHECK(peers.reachable_count(kStart) == 1);
 }
 
-TEST_CASE("load told on an answer is taken for the same instance only") {
+TEST_CASE("load reported with a response updates only the same instance") {
     auto peers = directory();
     peers.on_record(kStart, record("a", 1, 1));
     ServerRecord load;
@@ -122,7 +122,7 @@
     }
 }
 
-TEST_CASE("a large fleet tells more slowly, and silence is judged by that") {
+TEST_CASE("record periods and silence timeouts grow with the fleet") {
     CHECK(record_periods({8, 8}).local == seconds(1));
     CHECK(record_periods({8, 8}).remote == seconds(1));
     CHECK(record_periods({8, 8}, true).remote < seconds(1));
@@ -140,16 +140,16 @@
         record.sequence = 1;
         directory.on_record(now, record);
     }
-    // One lost datagram is no silence.
+    // A single lost datagram does not make a peer silent.
     CHECK(directory.reachable_count(now + seconds(7)) == 300);
-    // Those of the own zone are missed first.
+    // Silence is detected first for peers in the local zone.
     CHECK(directory.reachable_in_local_zone(now + seconds(7)).size() == 50);
     CHECK(directory.reachable_in_local_zone(now + seconds(9)).empty());
     CHECK(directory.reachable_count(now + seconds(30)) == 250);
     CHECK(directory.reachable_count(now + seconds(45)) == 0);
 }
 
-TEST_CASE("a working watch counts only of a peer of the own zone that is heard") {
+TEST_CASE("only working watches of reachable peers in the local zone count") {
     auto peers = directory();
     auto remote = record("far", 1, 1);
     remote.zone = "z2";
@@ -167,7 +167,7 @@
     CHECK_FALSE(peers.any_watch_in_local_zone(kStart));
 }
 
-TEST_CASE("a view of a service's servers follows every change at once, and silence a moment later") {
+TEST_CASE("a view of a service's servers reflects changes at once and silence after a delay") {
     auto peers = directory();
     peers.on_record(kStart, record("a", 1, 1));
     REQUIRE(peers.servers_of(kStart, "orders").local.size() == 1);
@@ -176,7 +176,7 @@
     peers.on_record(kStart, remote);
     REQUIRE(peers.servers_of(kStart, "orders").remote.size() == 1);
     CHECK(peers.servers_of(kStart, "orders").remote.front()->peer == "b");
-    // A refreshed record is seen through the view that was made before.
+    // A refreshed record is visible through the existing view.
     auto busy = record("a", 1, 2);
     busy.servers.front().in_flight = 5;
     busy.servers.front().latency_us = 900;
@@ -190,7 +190,7 @@
     CHECK(peers.servers_of(kStart + milliseconds(3'600), "orders").empty());
 }
 
-TEST_CASE("the usual servers of a fleet's daemons spread evenly over all servers") {
+TEST_CASE("the preferred servers of a fleet's daemons spread evenly over all servers") {
     constexpr int daemons = 50;
     constexpr int servers = 24;
     std::map<std::string, int> users;
@@ -206,7 +206,8 @@
             ++users[view.local[index]->peer];
         }
     }
-    // 12.5 on average; nobody is left without, and nobody has more than twice that.
+    // Each server is preferred by 12.5 daemons on average, by at least four, and by at most twice the
+    // average.
     CHECK(users.size() == servers);
     for (const auto& [name, count] : users) {
         CHECK(count >= 4);
@@ -214,7 +215,7 @@
     }
 }
 
-TEST_CASE("a large fleet's daemons announce themselves to all more rarely") {
+TEST_CASE("the announcement gap grows with the fleet") {
     CHECK(min_announcement_gap({4, 10}) == milliseconds(70));
     CHECK(min_announcement_gap({17, 53}) == milliseconds(350));
     CHECK(min_announcement_gap({50, 100}) == seconds(1));
--- a/tests/unit/membership/server_notices_test.cpp
+++ b/tests/unit/membership/server_notices_test.cpp
@@ -35,7 +35,7 @@
     CHECK_FALSE(notices.rate_of(server("a", 6)));
 }
 
-TEST_CASE("servers that are gone are forgotten") {
+TEST_CASE("notices expire") {
     ServerNotices notices;
     notices.on_rate(kNow, server("a"), RequestRate(1));
     notices.expire(kNow + seconds(599));
@@ -44,7 +44,7 @@
     CHECK_FALSE(notices.rate_of(server("a")));
 }
 
-TEST_CASE("a server that said that it leaves does so for good, but its next start doesn't") {
+TEST_CASE("a leaving notice is final for its start and doesn't apply to the next start") {
     ServerNotices notices;
     CHECK_FALSE(notices.has_leaving());
     notices.on_leaving(kNow, server("a", 5));
@@ -58,7 +58,7 @@
     CHECK_FALSE(notices.is_leaving(server("a", 5)));
 }
 
-TEST_CASE("a start that wasn't known when it left is the first that is named after it") {
+TEST_CASE("a leaving notice without a start time applies to the first start queried") {
     ServerNotices notices;
     notices.on_leaving(kNow, server("a"));
     CHECK(notices.is_leaving(server("a")));
--- a/tests/unit/membership/swim_test.cpp
+++ b/tests/unit/membership/swim_test.cpp
@@ -17,7 +17,8 @@
 constexpr milliseconds kPeriod{500};
 constexpr milliseconds kTick{125};
 
-/// A fleet in virtual time: every member's state machine, and a network with delay, loss and cuts.
+/// Simulates a fleet in virtual time: the state machine of every member, and a network with delay, loss and
+/// partitions.
 class Simulation {
   public:
     Simulation(std::size_t members, std::uint64_t seed) : random_(seed) {
@@ -52,7 +53,7 @@
     void stop(std::size_t index) { running_[index] = false; }
     void resume(std::size_t index) { running_[index] = true; }
     void set_loss(double loss) { loss_ = loss; }
-    /// Members with different marks don't hear each other.
+    /// Partitions the network: members with different marks cannot communicate.
     void cut(const std::function<int(std::size_t)>& mark) { mark_ = mark; }
     void heal() { mark_ = {}; }
 
@@ -62,7 +63,7 @@
             now_ += milliseconds(5);
             deliver();
             for (std::size_t index = 0; index < swims_.size(); ++index) {
-                // Members tick at their own phase.
+                // Each member ticks at its own phase.
                 const bool due = (now_.time_since_epoch() / milliseconds(5) + static_cast<long>(index)) %
                                      (kTick / milliseconds(5)) ==
                                  0;
@@ -77,8 +78,8 @@
         const auto* record = swims_[observer]->find("m" + std::to_string(member));
         return record == nullptr ? MemberState::kLeft : record->state;
     }
-    /// How many running members hold `member` for dead (or don't know it).
-    std::size_t holding_dead(std::size_t member) const {
+    /// Number of running members that consider `member` dead or do not know it.
+    std::size_t count_considering_dead(std::size_t member) const {
         std::size_t count = 0;
         for (std::size_t observer = 0; observer < swims_.size(); ++observer) {
             const auto state = state_seen_by(observer, member);
@@ -87,10 +88,10 @@
         }
         return count;
     }
-    std::size_t dead_verdicts_on_running() const {
+    std::size_t false_dead_count() const {
         std::size_t count = 0;
         for (std::size_t member = 0; member < swims_.size(); ++member) {
-            count += running_[member] ? holding_dead(member) : 0;
+            count += running_[member] ? count_considering_dead(member) : 0;
         }
         return count;
     }
@@ -148,43 +149,43 @@
 
 }  // namespace
 
-TEST_CASE("a dead member is noticed by all within a bound, and nobody else is") {
+TEST_CASE("all members detect a dead member within a bound, without false positives") {
     for (const std::uint64_t seed : {1, 2, 3}) {
         Simulation simulation(60, seed);
         simulation.set_loss(0.01);
         simulation.run(seconds(5));
         simulation.stop(7);
         simulation.run(seconds(20));
-        CHECK(simulation.holding_dead(7) == 59);
-        CHECK(simulation.dead_verdicts_on_running() == 0);
+        CHECK(simulation.count_considering_dead(7) == 59);
+        CHECK(simulation.false_dead_count() == 0);
     }
 }
 
-TEST_CASE("after a zone was cut and healed no live member stays declared dead") {
+TEST_CASE("no live member stays declared dead after a zone partition heals") {
     for (const std::uint64_t seed : {1, 2, 3}) {
         Simulation simulation(60, seed);
         simulation.run(seconds(2));
         simulation.cut([](std::size_t index) { return static_cast<int>(index % 3 == 2); });
         simulation.run(seconds(60));
-        CHECK(simulation.dead_verdicts_on_running() == 2 * 40 * 20);
+        CHECK(simulation.false_dead_count() == 2 * 40 * 20);
         simulation.heal();
         simulation.run(seconds(60));
-        CHECK(simulation.dead_verdicts_on_running() == 0);
+        CHECK(simulation.false_dead_count() == 0);
     }
 }
 
-TEST_CASE("a paused member is taken back, and condemns nobody when it wakes") {
+TEST_CASE("a paused member is considered alive again and declares no other member dead on resuming") {
     Simulation simulation(30, 5);
     simulation.run(seconds(2));
     simulation.stop(3);
     simulation.run(seconds(30));
-    CHECK(simulation.holding_dead(3) == 29);
+    CHECK(simulation.count_considering_dead(3) == 29);
     simulation.resume(3);
     simulation.run(seconds(30));
-    CHECK(simulation.dead_verdicts_on_running() == 0);
+    CHECK(simulation.false_dead_count() == 0);
 }
 
-TEST_CASE("a restarted member replaces its predecessor even if its clock stands behind") {
+TEST_CASE("a restarted member replaces its predecessor even if its clock is behind") {
     Simulation simulation(20, 6);
     simulation.run(seconds(2));
     const auto old_boot = simulation.swim(4).self().info.boot_id;
@@ -200,7 +201,7 @@
     }
 }
 
-TEST_CASE("a planned stop is known to all without suspicion") {
+TEST_CASE("a planned shutdown reaches all members without suspicion") {
     Simulation simulation(30, 8);
     simulation.run(seconds(2));
     simulation.swim(9).announce_self(MemberState::kLeaving);
@@ -214,7 +215,7 @@
 TEST_CASE("bytes a member sends in a period stay constant as members grow") {
     const auto bytes_per_member_second = [](std::size_t members) {
         Simulation simulation(members, 4);
-        // First the news of all members' joining has to be out.
+        // Waits until the joins of all members have been disseminated.
         simulation.run(seconds(100));
         simulation.count_bytes(true);
         simulation.run(seconds(10));
