--- a/src/protocol/call_context.cpp
+++ b/src/protocol/call_context.cpp
@@ -9,7 +9,7 @@
 namespace anisehold {
 namespace {
 
-// What is accepted in a header line: greater numbers and longer texts are malformed.
+// Limits on header values; greater numbers and longer texts are malformed.
 constexpr std::size_t kRootIdLength = 32;
 constexpr std::size_t kCallIdLength = 16;
 constexpr std::size_t kMaxHomeLength = 64;
@@ -17,7 +17,7 @@
 constexpr unsigned kMaxAllowance = 100;
 constexpr std::size_t kContextFields = 7;
 constexpr std::size_t kReportFields = 8;
-constexpr std::size_t kServiceField = 1;  // Of the report: the only one that isn't a number.
+constexpr std::size_t kServiceField = 1;  // Index in the report of the only field that is not a number.
 constexpr unsigned kMaxReported = 2'000'000'000;
 constexpr std::string_view kContextPurpose = "context:";
 constexpr std::string_view kGatePurpose = "gate:";
--- a/src/protocol/documents.hpp
+++ b/src/protocol/documents.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Small documents that every table daemon holds a copy of: the table and the claim holder view. Here is only
-/// their envelope; the store owns them, and `config` and `claims` read their texts.
+/// Small documents replicated to every table daemon: the table and the claim holder view. Owns only their
+/// envelope; the store owns the documents, and `config` and `claims` parse their texts.
 #pragma once
 
 #include <array>
@@ -15,7 +15,7 @@
 
 inline constexpr std::size_t kDocumentKinds = 2;
 
-/// Revision of each document that a daemon holds; 0 where it has none.
+/// Revision of each document held by a daemon; 0 if it has none.
 using DocumentRevisions = std::array<std::uint64_t, kDocumentKinds>;
 
 /// A document at a revision of the store.
--- a/src/protocol/duration_text.cpp
+++ b/src/protocol/duration_text.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kMillisecondsPerSecond = 1'000;
-/// Longer times are taken for mistakes: about three years.
+/// Durations above about three years are rejected as mistakes.
 constexpr double kLongestMs = 1e11;
 
 }  // namespace
--- a/src/protocol/duration_text.hpp
+++ b/src/protocol/duration_text.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Lengths of time as text: a number and its unit, "1500ms" or "2.5s". Used for settings and for the
+/// Parses durations written as a number and a unit, such as "1500ms" or "2.5s", in settings and in the
 /// platform's documents. Pure.
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace anisehold {
 
-/// Nothing unless the text is a number that isn't negative, followed by `ms` or `s`.
+/// Parses a non-negative number followed by `ms` or `s`; empty for any other text.
 std::optional<milliseconds> parse_duration(std::string_view text);
 
 }  // namespace anisehold
--- a/src/protocol/endpoint.hpp
+++ b/src/protocol/endpoint.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An IP address and port, as text and in messages; host names are not accepted anywhere. Pure.
+/// IP address and port, as text and in messages. Host names are not accepted anywhere. Pure.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +31,7 @@
     }
 };
 
-/// Parses "IPV4:PORT" or "[IPV6]:PORT"; nothing if the text is anything else.
+/// Parses "IPV4:PORT" or "[IPV6]:PORT"; empty for any other text.
 std::optional<Endpoint> parse_endpoint(std::string_view text);
 
 }  // namespace anisehold
--- a/src/protocol/error_kind.hpp
+++ b/src/protocol/error_kind.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The closed list of error kinds and the one table from a kind to the answer a caller gets. Owns names,
-/// statuses and event numbers, which logs, metrics and answers share; who answers decides which kind it is.
+/// The closed list of error kinds and the table that maps a kind to the response sent to the caller. Owns
+/// names, statuses and event numbers, which are shared by logs, metrics and responses. The component that
+/// responds selects the kind.
 #pragma once
 
 #include <optional>
@@ -10,8 +11,8 @@
 
 namespace anisehold {
 
-/// Every way in which a call can end without a back end's own answer. Values are stable: they are the
-/// codes of the `std::error_code` category and appear in logs.
+/// Every way in which a call can end without a back end's own response. Values are stable: they are the codes
+/// of the `std::error_code` category and appear in logs.
 enum class ErrorKind {
     kBadRequest = 1,
     kHeaderTooLarge,
@@ -45,21 +46,22 @@
     kCrashesServers,
 };
 
-/// What is known about whether the call was run by a back end.
+/// What is known about whether a back end executed the call.
 enum class Execution {
-    kNotRun,         ///< No back end was sent any byte of it, or the back end declared that it ran nothing.
-    kAttemptNotRun,  ///< This attempt ran nothing; what became of earlier ones with the same key isn't known.
-    kMayHaveRun,     ///< Bytes were sent and no whole answer came.
-    kRunBefore,      ///< An earlier call with the same idempotency key ran or is running.
+    kNotRun,         ///< No back end was sent any byte, or the back end declared that it executed nothing.
+    kAttemptNotRun,  ///< This attempt executed nothing; the outcome of earlier attempts with the same key is
+                     ///< unknown.
+    kMayHaveRun,     ///< Bytes were sent and no complete response arrived.
+    kRunBefore,      ///< An earlier call with the same idempotency key was executed or is in progress.
 };
 
-/// When a caller that was given this kind should come back.
+/// Whether a caller should retry after an error of this kind.
 enum class RetryAdvice {
-    kNever,  ///< Sending the same request again can't help.
-    kSoon,   ///< After a pause: `Retry-After` is sent.
+    kNever,  ///< Retrying the same request cannot succeed.
+    kSoon,   ///< Retry after a delay; `Retry-After` is sent.
 };
 
-/// One row of the table from error kind to answer.
+/// One row of the table that maps error kinds to responses.
 struct ErrorAnswer {
     ErrorKind kind;
     std::string_view name;  ///< Stable lower-case name, sent as the `kind` member and in `Anisehold-Error`.
--- a/src/protocol/message_archive.hpp
+++ b/src/protocol/message_archive.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Binary encoding of messages between our own processes with Boost.Serialization, safe against malformed
-/// input. Each message owns its layout (`serialize_all`). Included only where messages are encoded: the
+/// Binary encoding of messages between anisehold processes with Boost.Serialization, safe against malformed
+/// input. Each message owns its layout (`serialize_all`). Include only where messages are encoded: the
 /// archives are expensive to compile.
 #pragma once
 
@@ -23,7 +23,7 @@
 
 inline constexpr unsigned kArchiveFlags = boost::archive::no_header | boost::archive::no_codecvt;
 
-/// Reads from bytes that stay where they are.
+/// Reads from a byte sequence without copying it.
 class BytesBuffer final : public std::streambuf {
   public:
     explicit BytesBuffer(std::string_view bytes) {
@@ -34,8 +34,8 @@
     std::size_t remaining() const { return static_cast<std::size_t>(egptr() - gptr()); }
 };
 
-/// A binary archive that refuses lengths greater than what is left of the message, so that no malformed one
-/// makes it allocate more.
+/// A binary archive that rejects lengths greater than the rest of the message, so that a malformed message
+/// cannot cause a larger allocation.
 class BoundedArchive final
     : public boost::archive::binary_iarchive_impl<BoundedArchive, char, std::char_traits<char>> {
     using Base = boost::archive::binary_iarchive_impl<BoundedArchive, char, std::char_traits<char>>;
@@ -71,7 +71,7 @@
     BytesBuffer& buffer_;
 };
 
-/// The bytes of a message.
+/// Encodes a message.
 template <typename Message>
 std::string archive_bytes(const Message& message) {
     std::ostringstream stream;
@@ -82,7 +82,7 @@
     return std::move(stream).str();
 }
 
-/// Nothing if the bytes aren't such a message.
+/// Decodes a message; empty if the bytes are malformed.
 template <typename Message>
 std::optional<Message> unarchive_bytes(std::string_view bytes) {
     try {
@@ -92,7 +92,7 @@
         archive >> message;
         return message;
     } catch (const std::exception&) {
-        // Archive, length and allocation errors all mean the same: the content isn't a message.
+        // Archive, length and allocation errors all mean that the content is not a valid message.
         return std::nullopt;
     }
 }
--- a/src/protocol/number_text.hpp
+++ b/src/protocol/number_text.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Numbers as text, where the whole text must be one. Pure.
+/// Parses numbers, requiring that the whole text is a number. Pure.
 #pragma once
 
 #include <charconv>
@@ -9,8 +9,8 @@
 
 namespace anisehold {
 
-/// Nothing if the text is empty, holds anything else, or is out of the type's range. `base` is for whole
-/// numbers.
+/// Empty if the text is empty, contains other characters or is out of the type's range. `base` applies to
+/// integers.
 template <typename Number, typename... Base>
 std::optional<Number> parse_number(std::string_view text, Base... base) {
     Number number{};
--- a/src/protocol/request_digest.cpp
+++ b/src/protocol/request_digest.cpp
@@ -45,7 +45,7 @@
 }
 
 RequestDigest digest_of(const RequestTraits& traits) {
-    // Each part is preceded by its length, so that no two requests run together to the same bytes.
+    // Each part is preceded by its length, so that different requests cannot concatenate to the same bytes.
     std::string head;
     for (const auto part : {traits.method, traits.host, traits.target}) {
         const std::uint64_t length = part.size();
--- a/src/protocol/request_digest.hpp
+++ b/src/protocol/request_digest.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The digest by which a request that comes again is known, whatever its id, machine and deadline. Its values
-/// are on the wire, in logs and in the store. Pure.
+/// Digest that identifies a repeated request regardless of its id, machine and deadline. The values are part
+/// of the wire, log and storage formats. Pure.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 
 namespace anisehold {
 
-/// 128 bits of XXH3 over what makes two requests the same; not for security. Two of a million different
-/// requests share one with a chance of 1e-27.
+/// 128-bit XXH3 digest of the traits that identify a request; not cryptographically secure. The probability
+/// of a collision between two of a million different requests is 1e-27.
 struct RequestDigest {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
@@ -30,16 +30,16 @@
     }
 };
 
-/// Nothing unless the text is 32 hexadecimal digits.
+/// Parses 32 hexadecimal digits; empty for any other text.
 std::optional<RequestDigest> parse_request_digest(std::string_view text);
 
-/// Tells callers apart: a digest of the name of the service on the machine where the request began.
+/// Identifies a caller: a digest of the name of the service on the machine where the request originated.
 using CallerDigest = Strong<struct CallerDigestTag, std::uint64_t>;
 
 CallerDigest caller_digest(std::string_view service);
 
-/// A request that comes again, and who sends it. Not one digest: the same request may come from several
-/// callers, and what is known of one is then worth something for the others.
+/// Identifies a repeated request and its caller. The two digests are kept apart because several callers may
+/// send the same request, and information about one caller's request is useful for the others.
 struct RequestIdentity {
     RequestDigest digest;
     CallerDigest caller;
@@ -47,13 +47,13 @@
     bool operator==(const RequestIdentity&) const = default;
 };
 
-/// What makes two requests the same. Neither id nor deadline nor other header lines do.
+/// The traits by which two requests are considered the same. Ids, deadlines and other headers are excluded.
 struct RequestTraits {
     std::string_view method;
     std::string_view host;
     std::string_view target;  ///< Path and query.
-    /// The whole body, or what was read of one that is streamed: two long bodies that begin alike count as
-    /// the same.
+    /// The whole body, or the part read so far of a streamed body: two long bodies with the same beginning
+    /// are considered the same.
     std::string_view body;
 };
 
--- a/src/protocol/request_rate.hpp
+++ b/src/protocol/request_rate.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Rates of requests. Pure.
+/// Request rates. Pure.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace anisehold {
 
-/// Thousandths of a request a second.
+/// Rate in thousandths of a request per second.
 using RequestRate = Strong<struct RequestRateTag, std::uint32_t>;
 
 inline double per_second(RequestRate rate) {
--- a/src/protocol/stored_answer.hpp
+++ b/src/protocol/stored_answer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A small answer kept for a caller that sends its key again because the first answer was lost.
+/// A small response stored for a caller that repeats its idempotency key because the first response was lost.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace anisehold {
 
-/// One header line of a kept answer.
+/// One header field of a stored response.
 struct StoredField {
     std::string name;
     std::string value;
@@ -20,7 +20,7 @@
     }
 };
 
-/// A whole answer of a completed call.
+/// The complete response of a completed call.
 struct StoredAnswer {
     unsigned status = 0;
     std::vector<StoredField> fields;
--- a/src/protocol/strong_id.hpp
+++ b/src/protocol/strong_id.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Ids and counts that the compiler keeps apart. Pure.
+/// Strongly typed ids and counts. Pure.
 #pragma once
 
 #include <functional>
@@ -8,8 +8,8 @@
 
 namespace anisehold {
 
-/// A value of type `T` that only mixes with values of the same `Tag`. Compare, order, hash and print it by
-/// `value`; there is no way from one tag to another.
+/// A value of type `T` that is only compatible with values of the same `Tag`. Compare, order, hash and print
+/// by `value`; there is no conversion between tags.
 template <typename Tag, typename T>
 struct Strong {
     T value{};
--- a/src/protocol/time_types.hpp
+++ b/src/protocol/time_types.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The time types that all decision logic takes as arguments; nothing below this layer reads a clock.
+/// The time types that all decision logic takes as arguments. Nothing below this layer reads a clock.
 #pragma once
 
 #include <chrono>
@@ -7,10 +7,9 @@
 
 namespace anisehold {
 
-/// The monotonic clock that also counts the time for which the machine was suspended, which the steady clock
-/// doesn't: what ages (proofs, grants, leases, registrations, records, deadlines) has aged when the machine
-/// is back. A reading costs 34 to 42 ns, one of the steady clock 33 to 35 ns (means of 10 million, twice
-/// each, beside other load).
+/// Monotonic clock that includes the time for which the machine was suspended, unlike the steady clock, so
+/// that proofs, grants, leases, registrations, records and deadlines age during a suspension. A reading costs
+/// 34 to 42 ns, compared with 33 to 35 ns for the steady clock.
 struct BootClock {
     using rep = std::chrono::nanoseconds::rep;
     using period = std::chrono::nanoseconds::period;
@@ -25,9 +24,9 @@
     }
 };
 
-/// A moment on that clock; never compared across machines.
+/// A time on the boot clock; never compared across machines.
 using TimePoint = BootClock::time_point;
-/// A length of time on that clock.
+/// A duration on the boot clock.
 using Duration = BootClock::duration;
 
 using std::chrono::microseconds;
@@ -39,8 +38,8 @@
     return std::chrono::duration_cast<milliseconds>(duration).count();
 }
 
-/// The same moment on the steady clock, as of now: what fibers' timers run by. Time for which the machine is
-/// suspended later isn't counted.
+/// Converts a time to the steady clock, which drives fiber timers, as of now. Later suspensions of the
+/// machine are not counted.
 inline std::chrono::steady_clock::time_point on_steady_clock(TimePoint moment) {
     using Steady = std::chrono::steady_clock;
     return moment == TimePoint::max() ? Steady::time_point::max()
--- a/tests/unit/protocol/request_digest_test.cpp
+++ b/tests/unit/protocol/request_digest_test.cpp
@@ -11,11 +11,11 @@
 
 }  // namespace
 
-TEST_CASE("a request has the same digest wherever it is taken", "[digest]") {
+TEST_CASE("a request's digest is reproducible", "[digest]") {
     CHECK(digest_of(kRequest) == digest_of(kRequest));
 }
 
-TEST_CASE("each trait of a request changes its digest, and parts don't run together", "[digest]") {
+TEST_CASE("each trait changes the digest, and adjacent parts are delimited", "[digest]") {
     std::unordered_set<RequestDigest> digests{digest_of(kRequest)};
     digests.insert(digest_of({"PUT", "shop.example", "/read/2f", "body"}));
     digests.insert(digest_of({"GET", "other.example", "/read/2f", "body"}));
@@ -27,7 +27,7 @@
     CHECK(digests.size() == 8);
 }
 
-TEST_CASE("a digest's text reads back, and nothing else does", "[digest]") {
+TEST_CASE("a digest's text parses, and malformed texts are rejected", "[digest]") {
     const RequestDigest digest{0x1234, 0xfedcba9876543210};
     CHECK(digest.text() == "0000000000001234fedcba9876543210");
     CHECK(parse_request_digest(digest.text()) == digest);
--- a/tests/unit/protocol/time_types_test.cpp
+++ b/tests/unit/protocol/time_types_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace anisehold;
 
-TEST_CASE("a moment on the steady clock is as far away as on the other one, and no end stays no end") {
+TEST_CASE("converting a time to the steady clock keeps its distance, and the maximum stays the maximum") {
     const auto in_a_minute = on_steady_clock(TimePoint::clock::now() + seconds(60));
     const auto away = in_a_minute - std::chrono::steady_clock::now();
     CHECK(away > seconds(59));
