--- a/src/hop/hop_header.cpp
+++ b/src/hop/hop_header.cpp
@@ -8,11 +8,11 @@
 namespace anisehold::hop {
 namespace {
 
-constexpr unsigned kMostPercent = 100;
-/// What a text field may not hold.
+constexpr unsigned kMaxPercent = 100;
+/// Characters that a text field must not contain.
 constexpr std::string_view kReserved = ";\r\n";
 
-/// In the order of the enum.
+/// Names in the order of the enum.
 constexpr std::array<std::string_view, 4> kOutcomeNames{"answered", "not-sent", "refused-by-server",
                                                         "unknown"};
 
@@ -51,12 +51,12 @@
     return parsed.has_value();
 }
 
-/// A number that isn't written where it is 0, as nearly always.
+/// Reads a number that is omitted when it is 0, the usual case.
 bool read_unless_zero(const Fields& fields, std::string_view name, unsigned& number) {
     return !fields.contains(name) || read(fields, name, number);
 }
 
-/// A rate is left out where there is none, as nearly always.
+/// Reads a rate, which is omitted when there is none, the usual case.
 bool read(const Fields& fields, std::string_view name, std::optional<RequestRate>& rate) {
     RequestRate value;
     if (!fields.contains(name)) {
@@ -134,13 +134,13 @@
     std::uint32_t remaining_ms = 0;
     std::uint32_t longest_wait_ms = 0;
     unsigned once = 0;
-    const bool whole =
-        read(fields, "instance", request.instance) && read(fields, "caller", request.caller) &&
-        read(fields, "row", request.row) && read(fields, "priority", request.priority) &&
-        read(fields, "remaining_ms", remaining_ms) && read(fields, "longest_wait_ms", longest_wait_ms) &&
-        read(fields, "once", once) && read(fields, "repeat_percent", request.retry_percent) &&
-        read_unless_zero(fields, "crashes", request.crashes) &&
-        read(fields, "rate_limit", request.rate_limit) && request.retry_percent <= kMostPercent;
+    const bool whole = read(fields, "instance", request.instance) && read(fields, "caller", request.caller) &&
+                       read(fields, "row", request.row) && read(fields, "priority", request.priority) &&
+                       read(fields, "remaining_ms", remaining_ms) &&
+                       read(fields, "longest_wait_ms", longest_wait_ms) && read(fields, "once", once) &&
+                       read(fields, "repeat_percent", request.retry_percent) &&
+                       read_unless_zero(fields, "crashes", request.crashes) &&
+                       read(fields, "rate_limit", request.rate_limit) && request.retry_percent <= kMaxPercent;
     if (!whole) {
         return std::nullopt;
     }
--- a/src/hop/hop_header.hpp
+++ b/src/hop/hop_header.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The header lines that a request and its answer carry between the daemon near the caller and the daemon
-/// beside the server. Owns their text form, `name=value` pairs separated by ';'. Unknown names are skipped; a
-/// text without one of the others is refused whole. Pure.
+/// HTTP headers of a request and its response between the caller's daemon and the server's daemon. Owns their
+/// text form, `name=value` pairs separated by ';'. Unknown names are skipped; a text without a required name
+/// is rejected as a whole. Pure.
 #pragma once
 
 #include <cstdint>
@@ -18,51 +18,51 @@
 inline constexpr std::string_view kRequestHeader = "Anisehold-Hop";
 inline constexpr std::string_view kResultHeader = "Anisehold-Hop-Result";
 
-/// What the gate must know of a request beyond the request itself. Texts may not hold ';' or the end of a
-/// line; a `row` that does is left out.
+/// Information that the gate needs in addition to the request itself. Texts must not contain ';' or line
+/// ends; a `row` that does is omitted.
 struct HopRequest {
-    std::string instance;        ///< The server that is meant.
-    std::string caller;          ///< Service on the machine where the request began.
-    unsigned priority = 0;       ///< 0 is the most important.
-    milliseconds remaining{0};   ///< Time left until the request is given up.
-    milliseconds max_wait{0};    ///< Longest time it may wait at the gate.
-    bool at_most_once = false;   ///< It must not run twice.
-    unsigned retry_percent = 0;  ///< How likely it is a retry, or made by a run that is one; 0 to 100.
-    std::string row;  ///< The route and the request's rank; empty if it can't be written in a header line.
-    unsigned crashes = 0;  ///< Servers in a row that are known to have crashed under it.
-    /// The rate limit that the sender last heard of the server, for a gate that was restarted.
+    std::string instance;        ///< The server that the request is for.
+    std::string caller;          ///< Service on the machine where the request originated.
+    unsigned priority = 0;       ///< 0 is the highest priority.
+    milliseconds remaining{0};   ///< Time until the request's deadline.
+    milliseconds max_wait{0};    ///< Maximum time that the request may wait at the gate.
+    bool at_most_once = false;   ///< The request must not be executed twice.
+    unsigned retry_percent = 0;  ///< Probability, 0 to 100, that the request is part of a retry.
+    std::string row;       ///< The route and the request's rank; empty if they cannot be written in a header.
+    unsigned crashes = 0;  ///< Consecutive servers that crashed executing the request.
+    /// The server's rate limit last seen by the sender, for a gate that was restarted.
     std::optional<RequestRate> rate_limit{};
 };
 
-/// What became of the request at the gate.
+/// Outcome of the request at the gate.
 enum class HopOutcome {
-    kAnswered,         ///< The message is the server's answer.
-    kNotSent,          ///< Refused at the gate; the server was sent nothing.
-    kRefusedByServer,  ///< The server declared that it ran nothing.
-    kUnknown,          ///< It may have run; the message is no answer of the server.
+    kAnswered,         ///< The message is the server's response.
+    kNotSent,          ///< Rejected at the gate; nothing was sent to the server.
+    kRefusedByServer,  ///< The server declared that it executed nothing.
+    kUnknown,          ///< The request may have been executed; the message is not a response of the server.
 };
 
-/// What the gate reports with every answer: the outcome, and its server's load.
+/// The gate's report with every response: the outcome and its server's load.
 struct HopResult {
     HopOutcome outcome = HopOutcome::kUnknown;
-    ErrorKind error = ErrorKind::kBackendFailed;  ///< Unless answered.
-    milliseconds retry_after{0};                  ///< When capacity is expected, unless answered.
-    std::string instance;                         ///< The server that the gate has now.
-    unsigned in_flight = 0;                       ///< Requests that run at the server.
-    unsigned queued = 0;                          ///< Requests that wait at the gate.
-    unsigned limit = 0;                           ///< Most requests that the gate lets run.
-    std::optional<RequestRate> rate_limit;        ///< That the server named, if any.
-    bool server_leaves = false;                   ///< The server's answer says that it ends soon.
-    unsigned latency_us = 0;                      ///< Time that the server takes for a request.
-    unsigned failed_percent = 0;                  ///< Share of the server's latest requests that it failed.
-    unsigned crashes = 0;  ///< Servers in a row that are known at the gate to have crashed under it.
-    /// Set when the server failed and a call that it made had been refused for overload meanwhile.
+    ErrorKind error = ErrorKind::kBackendFailed;  ///< Valid unless answered.
+    milliseconds retry_after{0};                  ///< Time until capacity is expected; valid unless answered.
+    std::string instance;                         ///< The gate's current server.
+    unsigned in_flight = 0;                       ///< Requests in flight at the server.
+    unsigned queued = 0;                          ///< Requests queued at the gate.
+    unsigned limit = 0;                           ///< The gate's limit of requests in flight.
+    std::optional<RequestRate> rate_limit;        ///< Rate limit reported by the server, if any.
+    bool server_leaves = false;                   ///< The server's response announces its shutdown.
+    unsigned latency_us = 0;                      ///< The server's response time.
+    unsigned failed_percent = 0;                  ///< Share of recent requests that the server failed.
+    unsigned crashes = 0;  ///< Consecutive servers that crashed executing the request, as known at the gate.
+    /// Set if the server failed and a call that it made was meanwhile rejected for overload.
     std::string overloaded_service;
 };
 
 std::string encode(const HopRequest& request);
 std::string encode(const HopResult& result);
-/// Nothing if the text is malformed.
+/// Empty if the text is malformed.
 std::optional<HopRequest> decode_hop_request(std::string_view text);
 std::optional<HopResult> decode_hop_result(std::string_view text);
 /// Stable lower-case name of an outcome.
--- a/tests/unit/hop/hop_header_test.cpp
+++ b/tests/unit/hop/hop_header_test.cpp
@@ -19,7 +19,7 @@
     CHECK(received->row == "route/2");
 }
 
-TEST_CASE("a rate limit survives the encoding, and is left out where there is none") {
+TEST_CASE("a rate limit survives encoding and is omitted if there is none") {
     HopRequest request;
     HopResult result;
     CHECK(encode(request).find("rate") == std::string::npos);
@@ -34,7 +34,7 @@
     CHECK_FALSE(decode_hop_result(encode(result) + ";rate_limit=many"));
 }
 
-TEST_CASE("that a server leaves survives the encoding, and is left out otherwise") {
+TEST_CASE("a leaving server's flag survives encoding and is omitted otherwise") {
     HopResult result;
     CHECK(encode(result).find("leaves") == std::string::npos);
     CHECK_FALSE(decode_hop_result(encode(result))->server_leaves);
@@ -42,7 +42,7 @@
     CHECK(decode_hop_result(encode(result))->server_leaves);
 }
 
-TEST_CASE("a row that would break its header line is left out") {
+TEST_CASE("a row that would break its header line is omitted") {
     HopRequest sent;
     for (const auto* row : {"a;once=1", "a\r\nX: y"}) {
         sent.row = row;
