--- a/src/store/base64.cpp
+++ b/src/store/base64.cpp
@@ -24,7 +24,7 @@
     if (length < 0) {
         return std::nullopt;
     }
-    // The decoder counts padding as zero bytes.
+    // The decoder includes padding in its output as zero bytes.
     std::size_t padding = 0;
     while (padding < 2 && padding < text.size() && text[text.size() - 1 - padding] == '=') {
         ++padding;
--- a/src/store/base64.hpp
+++ b/src/store/base64.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Base64 as of RFC 4648, in which both stores' JSON has keys and values. Pure.
+/// Base64 (RFC 4648) for the keys and values in both stores' JSON. Pure.
 #pragma once
 
 #include <optional>
@@ -9,7 +9,7 @@
 namespace anisehold::store {
 
 std::string base64_encode(std::string_view bytes);
-/// Nothing if the text isn't base64.
+/// Empty if the text is not valid base64.
 std::optional<std::string> base64_decode(std::string_view text);
 
 }  // namespace anisehold::store
--- a/src/store/coordination_store.hpp
+++ b/src/store/coordination_store.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The store that sidecars coordinate through: revisions, conditions and watches. platform/store_client is
-/// the implementation; it makes calls and translates, without a retry or a decision. The table daemon's store
-/// is another one, store/key_value_store.
+/// Interface of the store through which sidecars coordinate: revisions, conditional writes and watches. Owns
+/// no state. platform/store_client implements it; the implementation only performs and translates calls,
+/// without retries or decisions. The table daemon uses a different store, store/key_value_store.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +13,14 @@
 
 namespace anisehold::store {
 
-/// What is known after a call.
+/// Outcome of a call as far as it is known.
 enum class CallOutcome {
     kDone,
     kNotFound,     ///< No such key.
-    kConflict,     ///< A condition doesn't hold; nothing was written.
-    kHistoryLost,  ///< The revision that a watch was to start from is no longer kept.
-    kRefused,      ///< The store refused to act; nothing was done.
-    kUnknown,      ///< No answer came; a write may have been done, or may still be.
+    kConflict,     ///< A condition was not met; nothing was written.
+    kHistoryLost,  ///< The requested start revision of a watch is no longer kept.
+    kRefused,      ///< The store rejected the call; nothing was done.
+    kUnknown,      ///< No response arrived; a write may have been applied or may still be.
 };
 
 /// Stable lower-case name of an outcome, for logs.
@@ -30,10 +30,10 @@
 struct StoreItem {
     std::string key;
     std::string value;
-    std::uint64_t revision = 0;  ///< Not used when it is to be written.
+    std::uint64_t revision = 0;  ///< Ignored in writes.
 };
 
-/// Most items of one write, by the store's protocol.
+/// Maximum number of items in one write, by the store's protocol.
 inline constexpr std::size_t kMaxItemsPerWrite = 32;
 
 struct ReadReply {
@@ -45,16 +45,16 @@
 struct ListReply {
     CallOutcome outcome = CallOutcome::kUnknown;
     std::vector<StoreItem> items;
-    std::size_t unreadable = 0;  ///< Items that aren't as the protocol has them; they are left out.
-    bool more = false;           ///< Another page starts after the last item.
+    std::size_t unreadable = 0;  ///< Number of malformed items, which are omitted.
+    bool more = false;           ///< Another page follows after the last item.
     std::uint64_t store_revision = 0;
 };
 
 struct WatchReply {
     CallOutcome outcome = CallOutcome::kUnknown;
     std::vector<StoreItem> changed;    ///< Written items, oldest first.
-    std::size_t unreadable = 0;        ///< As in `ListReply`.
-    std::uint64_t store_revision = 0;  ///< Where the next watch starts.
+    std::size_t unreadable = 0;        ///< Number of malformed items, which are omitted.
+    std::uint64_t store_revision = 0;  ///< Start revision of the next watch.
 };
 
 struct WriteReply {
@@ -62,26 +62,27 @@
     std::uint64_t revision = 0;
 };
 
-/// How old the answer to a read may be.
+/// Consistency of a read.
 enum class ReadMode {
-    kLatest,      ///< All that was acknowledged before the call is seen.
-    kMayBeStale,  ///< May be seconds old; costs a tenth and isn't counted towards the store's rate.
+    kLatest,      ///< Reflects all writes acknowledged before the call.
+    kMayBeStale,  ///< The result may be seconds old. Costs a tenth of a latest read and does not count
+                  ///< towards the store's rate limit.
 };
 
-/// The store behind its published protocol. Every call blocks its fiber until `deadline` at the latest.
+/// The store behind its published protocol. Every call blocks its fiber, at most until `deadline`.
 class CoordinationStore {
   public:
     virtual ~CoordinationStore() = default;
 
     virtual ReadReply read(const std::string& key, ReadMode mode, TimePoint deadline) = 0;
-    /// Items whose keys begin with `prefix`, from the one after `after`.
+    /// Items whose keys begin with `prefix`, starting after the key `after`.
     virtual ListReply list(const std::string& prefix, const std::string& after, ReadMode mode,
                            TimePoint deadline) = 0;
-    /// Changes below `prefix` after a revision; comes back without any once `wait` is over.
+    /// Changes below `prefix` after a revision; returns without changes after `wait`.
     virtual WatchReply watch(const std::string& prefix, std::uint64_t after_revision, milliseconds wait) = 0;
-    /// Writes keys and values, all or none, whatever the revisions; at most `kMaxItemsPerWrite` of them.
+    /// Writes keys and values atomically, regardless of revisions; at most `kMaxItemsPerWrite` items.
     virtual WriteReply write(const std::vector<StoreItem>& items, TimePoint deadline) = 0;
-    /// Removes one key if `revision` is still its latest change; a conflict otherwise.
+    /// Removes a key if `revision` is its latest change; returns a conflict otherwise.
     virtual WriteReply remove(const std::string& key, std::uint64_t revision, TimePoint deadline) = 0;
 };
 
--- a/src/store/etcd_store.cpp
+++ b/src/store/etcd_store.cpp
@@ -14,19 +14,18 @@
 constexpr unsigned kHttpOk = 200;
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kUnavailable = 503;
-/// Bytes that are read of a watch at a time. Chosen, not measured.
+/// Bytes read from a watch at a time.
 constexpr std::size_t kWatchChunkBytes = 16 * 1024;
-/// Largest watch message or answer taken from the store, in bytes. Chosen, not measured.
-constexpr std::size_t kLargestMessage = 8 * 1024 * 1024;
-/// A watch with no event for this long is ended, so that a silently broken one doesn't last. Chosen, not
-/// measured.
+/// Maximum size in bytes of a watch message or response from the store.
+constexpr std::size_t kMaxMessageBytes = 8 * 1024 * 1024;
+/// A watch without events for this time is closed, so that a silently broken connection is detected.
 constexpr milliseconds kWatchSilence{15'000};
 
 std::error_code malformed() {
     return std::make_error_code(std::errc::bad_message);
 }
 
-/// The gateway writes 64-bit numbers as strings and leaves out zeros.
+/// The gateway encodes 64-bit numbers as strings and omits zeros.
 std::optional<std::uint64_t> read_number(const json& object, const char* name) {
     if (!object.is_object()) {
         return std::nullopt;
@@ -84,7 +83,7 @@
     return object;
 }
 
-/// Handles one line of a watch stream; false ends the watch.
+/// Handles one line of a watch stream; returns false to end the watch.
 bool handle_watch_line(const std::string& line, const std::function<bool(const KeyValue&)>& on_change,
                        std::error_code& error) {
     const auto message = json::parse(line, nullptr, false);
@@ -114,7 +113,7 @@
     return true;
 }
 
-/// Hands on every whole line in `pending` and keeps the rest.
+/// Processes every complete line in `pending` and keeps the rest.
 bool handle_lines(std::string& pending, const std::function<bool(const KeyValue&)>& on_change,
                   std::error_code& error) {
     std::size_t end = pending.find('\n');
@@ -159,14 +158,14 @@
             request, {TimePoint::clock::now() + timeout_ms_, nullptr}, progress, error);
         std::optional<std::string> text;
         if (response) {
-            text = net::read_whole(response->body, kLargestMessage, error);
+            text = net::read_whole(response->body, kMaxMessageBytes, error);
         }
         const bool whole = text.has_value();
         if (whole && response->status == kHttpOk) {
             return text;
         }
         if (!error) {
-            // The gateway refused (rate limit, unavailable) or the answer was cut.
+            // The gateway rejected the request (rate limited or unavailable) or the response was truncated.
             error = std::make_error_code(whole ? std::errc::resource_unavailable_try_again
                                                : std::errc::bad_message);
         }
@@ -264,7 +263,7 @@
         const auto count = response->body.rest->read(chunk.data(), chunk.size(), error);
         pending.append(chunk.data(), count);
         const bool ended = count == 0 && !error;
-        go_on = !ended && pending.size() <= kLargestMessage && handle_lines(pending, on_change, error);
+        go_on = !ended && pending.size() <= kMaxMessageBytes && handle_lines(pending, on_change, error);
     }
     return error;
 }
--- a/src/store/etcd_store.hpp
+++ b/src/store/etcd_store.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The key-value store over the etcd v3 JSON gateway. Owns a connection pool for each of the store's
-/// addresses; relies on store/base64 for keys and values.
+/// The key-value store over the etcd v3 JSON gateway. Owns a connection pool for each store address; relies
+/// on store/base64 for keys and values.
 #pragma once
 
 #include <memory>
@@ -12,8 +12,8 @@
 
 namespace anisehold::store {
 
-/// Talks to one of several store addresses; goes on to the next when one fails. A write that may have been
-/// received isn't sent again.
+/// Client of one of several store addresses; fails over to the next address when one fails. A write that may
+/// have been received is not resent.
 class EtcdStore final : public KeyValueStore {
   public:
     EtcdStore(boost::asio::io_context& io, const std::vector<Endpoint>& servers, milliseconds timeout_ms);
@@ -26,8 +26,8 @@
                           const std::function<bool(const KeyValue&)>& on_change) override;
 
   private:
-    /// Sends a POST; sets `maybe_received` if the store may have acted on it despite an error. `repeatable`:
-    /// it may be sent again even then.
+    /// Sends a POST. Sets `maybe_received` if the store may have acted on the request despite an error. A
+    /// `repeatable` request may be resent even then.
     std::optional<std::string> post(const std::string& path, const std::string& body, bool repeatable,
                                     bool& maybe_received, std::error_code& error);
 
--- a/src/store/key_value_store.hpp
+++ b/src/store/key_value_store.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The key-value store of the table daemon, as far as it is used: ranges, compare-and-swap and watches. The
-/// sidecar's store is another one, store/coordination_store.
+/// Interface of the table daemon's key-value store, limited to the operations in use: ranges,
+/// compare-and-swap and watches. Owns no state. Sidecars use a different store, store/coordination_store.
 #pragma once
 
 #include <cstdint>
@@ -30,17 +30,17 @@
     std::string value;
 };
 
-/// What is known after a compare-and-swap.
+/// Outcome of a compare-and-swap as far as it is known.
 enum class SwapOutcome {
     kDone,
-    kConflict,  ///< The compared key had another revision; nothing was written.
-    kRefused,   ///< The store could not be reached or refused to act; nothing was written.
-    kUnknown,   ///< No answer came; it may have been written.
+    kConflict,  ///< The compared key had a different revision; nothing was written.
+    kRefused,   ///< The store was unreachable or rejected the request; nothing was written.
+    kUnknown,   ///< No response arrived; the write may have been applied.
 };
 
 struct SwapResult {
     SwapOutcome outcome = SwapOutcome::kUnknown;
-    std::uint64_t revision = 0;  ///< Of the writes, when done.
+    std::uint64_t revision = 0;  ///< Revision of the writes; valid if done.
     std::error_code error;
 };
 
@@ -49,24 +49,24 @@
   public:
     virtual ~KeyValueStore() = default;
 
-    /// Keys from `first` up to, not including, `end`; only `first` if `end` is empty. Nothing, and the
-    /// reason, without a well-formed answer.
+    /// Keys from `first` up to but excluding `end`; only `first` if `end` is empty. Empty, with `error` set,
+    /// if there is no well-formed response.
     virtual std::optional<RangeResult> range(const std::string& first, const std::string& end,
                                              std::error_code& error) = 0;
-    /// Writes `puts` if `compared_key` was last changed at `revision` (0: doesn't exist).
+    /// Writes `puts` if the latest change of `compared_key` is at `revision` (0: the key does not exist).
     virtual SwapResult compare_and_swap(const std::string& compared_key, std::uint64_t revision,
                                         const std::vector<Put>& puts) = 0;
-    /// Calls `on_change` for each change from `start_revision` on, until the watch breaks or `on_change`
+    /// Calls `on_change` for each change starting at `start_revision`, until the watch fails or `on_change`
     /// returns false.
     virtual std::error_code watch(const std::string& first, const std::string& end,
                                   std::uint64_t start_revision,
                                   const std::function<bool(const KeyValue&)>& on_change) = 0;
 };
 
-/// The end of the range of all keys that start with `prefix`.
+/// The exclusive end of the range of all keys that start with `prefix`.
 std::string prefix_end(std::string prefix);
 
-/// Keys that this project uses.
+/// Keys used by anisehold.
 inline constexpr const char* kTableKey = "/anisehold/table";
 inline constexpr const char* kHolderViewKey = "/anisehold/holders";
 inline constexpr const char* kHistoryPrefix = "/anisehold/history/";
--- a/src/store/table_store.cpp
+++ b/src/store/table_store.cpp
@@ -19,18 +19,18 @@
 using config::TableRow;
 using nlohmann::json;
 
-/// History entries are kept in a ring of keys, so that the store doesn't grow: at 1,400 changes a day, 1.4
-/// days.
+/// History entries are kept in a ring of keys, so that the store does not grow. The ring covers 1.4 days at
+/// 1,400 changes a day.
 constexpr std::uint64_t kHistoryEntries = 2'000;
-/// Digits of an entry's number in its key; the stored keys have this form.
+/// Digits of an entry's number in its key; part of the stored key format.
 constexpr std::size_t kHistoryKeyDigits = 6;
-/// Times that a change is written, each but the first onto a newer table. Chosen, not measured.
-constexpr int kMostRebases = 5;
-/// Times that the store is asked whether a change took effect, and the pause between: ten seconds in all, or
-/// more while it is slow. Chosen, not measured.
-constexpr int kMostSettleReads = 20;
+/// Maximum number of write attempts for a change, each but the first onto a newer table.
+constexpr int kMaxRebases = 5;
+/// Number of reads that check whether a change took effect, and the pause between them: ten seconds in total,
+/// or longer if the store is slow.
+constexpr int kMaxSettleReads = 20;
 constexpr milliseconds kSettlePause{500};
-/// Random bytes of a change id; it has two hex digits for each.
+/// Random bytes of a change id, each encoded as two hex digits.
 constexpr std::size_t kChangeIdBytes = 8;
 
 std::string new_change_id() {
@@ -173,7 +173,7 @@
     result.change_id = new_change_id();
     StoredTable current = base;
     Table next = wanted;
-    for (int attempt = 0; attempt < kMostRebases; ++attempt) {
+    for (int attempt = 0; attempt < kMaxRebases; ++attempt) {
         if (const auto outcome = write_once(current, next, author, result)) {
             result.outcome = *outcome;
             return result;
@@ -227,7 +227,7 @@
 }
 
 std::optional<AcceptOutcome> TableStore::settle(AcceptResult& result) {
-    for (int attempt = 0; attempt < kMostSettleReads; ++attempt) {
+    for (int attempt = 0; attempt < kMaxSettleReads; ++attempt) {
         std::error_code error;
         const auto stored = load(error);
         const bool in_force = stored && stored->record.change_id == result.change_id;
--- a/src/store/table_store.hpp
+++ b/src/store/table_store.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Reading and changing the operators' table in the store: the one path for the command line and the page.
-/// The table lies under one key, its history under a ring of keys. Owns nothing; relies on a store with
-/// compare-and-swap, which settles what happens when two operators change the table at once.
+/// Reads and changes the operators' table in the store, for both the command line and the admin page. The
+/// table is stored under one key, its history under a ring of keys. Owns no state; relies on the store's
+/// compare-and-swap to resolve concurrent changes by operators.
 #pragma once
 
 #include <optional>
@@ -13,13 +13,13 @@
 
 namespace anisehold::store {
 
-/// The table as the store has it.
+/// The table as stored.
 struct StoredTable {
     config::TableRecord record;
-    std::uint64_t revision = 0;  ///< 0 if there is none yet.
+    std::uint64_t revision = 0;  ///< 0 if no table exists yet.
 };
 
-/// One accepted change, as kept in the history.
+/// One accepted change in the history.
 struct HistoryEntry {
     std::uint64_t sequence = 0;
     std::string change_id;
@@ -30,52 +30,57 @@
 
 enum class AcceptOutcome {
     kAccepted,
-    kUnchanged,    ///< The store has this very table.
-    kCollision,    ///< Another change was accepted meanwhile and touches the same cells.
-    kUnknown,      ///< No answer came and the store can't be asked; `outcome CHANGE-ID` answers later.
-    kUnreachable,  ///< The store can't be reached; nothing was written.
+    kUnchanged,    ///< The stored table is identical.
+    kCollision,    ///< A concurrently accepted change modifies the same cells.
+    kUnknown,      ///< No response arrived and the store cannot be queried; the command `outcome CHANGE-ID`
+                   ///< reports the outcome later.
+    kUnreachable,  ///< The store is unreachable; nothing was written.
     kBadTable,
 };
 
 struct AcceptResult {
     AcceptOutcome outcome = AcceptOutcome::kUnreachable;
     std::string change_id;
-    std::uint64_t revision = 0;               ///< When accepted.
-    bool rebased = false;                     ///< Another change was accepted meanwhile; both are in force.
-    std::vector<config::CellChange> changes;  ///< The cells that were, or would have been, changed.
-    std::vector<config::CellChange> collisions;  ///< "before" is the other operator's value, "after" ours.
-    std::vector<config::TableError> errors;      ///< When the table is bad.
+    std::uint64_t revision = 0;  ///< Revision of the accepted change.
+    bool rebased = false;  ///< The change was rebased onto a concurrently accepted change; both are in force.
+    std::vector<config::CellChange> changes;  ///< The cells that were changed, or would have been.
+    std::vector<config::CellChange>
+        collisions;  ///< "before" is the other operator's value, "after" the value of this change.
+    std::vector<config::TableError> errors;  ///< Errors of a bad table.
 };
 
-/// Table operations over a store. Blocks the calling fiber.
+/// Table operations on a store. Block the calling fiber.
 class TableStore {
   public:
     explicit TableStore(KeyValueStore& store) : store_(store) {}
 
-    /// The table in the store; nothing if the store doesn't answer or holds a malformed record.
+    /// The stored table; empty if the store does not respond or contains a malformed record.
     std::optional<StoredTable> load(std::error_code& error);
-    /// Replaces `base` by `wanted` in one compare-and-swap. If another change came between, the cells that
-    /// don't collide are rebased onto it. A lost answer is settled by reading back the change id.
+    /// Replaces `base` by `wanted` in one compare-and-swap. If another change was accepted in between, the
+    /// cells that do not collide are rebased onto it. If the response is lost, the outcome is determined by
+    /// reading back the change id.
     AcceptResult accept(const StoredTable& base, const config::Table& wanted, const std::string& author);
-    /// The history, newest first, at most `limit` entries.
+    /// The history, newest first, limited to `limit` entries.
     std::optional<std::vector<HistoryEntry>> history(std::size_t limit, std::error_code& error);
-    /// The entry of a change; nothing without an error means that it was never accepted (or is too old).
+    /// The history entry of a change. Empty without an error means that the change was never accepted or its
+    /// entry has been overwritten.
     std::optional<HistoryEntry> find_change(const std::string& change_id, std::error_code& error);
 
   private:
-    /// Writes `next` in place of `current`. Nothing if another change came between; `result` gets all but the
-    /// outcome.
+    /// Writes `next` in place of `current`. Empty if another change was accepted in between; `result`
+    /// receives everything except the outcome.
     std::optional<AcceptOutcome> write_once(const StoredTable& current, const config::Table& next,
                                             const std::string& author, AcceptResult& result);
-    /// After a write without an answer: asks the store until it answers whether the change took effect.
-    /// Nothing if it didn't; `kUnknown` if the store doesn't answer for some ten seconds.
+    /// After a write without a response, queries the store until it reports whether the change took effect.
+    /// Empty if the change did not take effect; `kUnknown` if the store does not respond for about ten
+    /// seconds.
     std::optional<AcceptOutcome> settle(AcceptResult& result);
 
     KeyValueStore& store_;
 };
 
-/// Puts the cells changed between `base` and `wanted` onto `current`. Cells that `current` changed to
-/// something else since `base` are returned as collisions and left.
+/// Applies the cells changed between `base` and `wanted` to `current`. Cells that `current` changed to a
+/// different value since `base` are returned as collisions and left unchanged.
 std::vector<config::CellChange> rebase(const config::Table& base, const config::Table& wanted,
                                        config::Table& current);
 
--- a/tests/unit/store/store_test.cpp
+++ b/tests/unit/store/store_test.cpp
@@ -15,7 +15,7 @@
     "a,service,,1,1,10,1000,0,yes\n"
     "b,service,,2,1,10,1000,0,yes\n";
 
-/// A store in memory that can be told to lose answers or to let another operator go first.
+/// In-memory store that can lose responses or run another operator's change before a swap.
 class FakeStore final : public KeyValueStore {
   public:
     std::optional<RangeResult> range(const std::string& first, const std::string& end,
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-TEST_CASE("base64 is that of RFC 4648") {
+TEST_CASE("base64 follows RFC 4648") {
     for (const auto* text : {"", "f", "fo", "foo", "foob", "fooba", "foobar"}) {
         CHECK(base64_decode(base64_encode(text)) == text);
     }
@@ -125,7 +125,7 @@
     CHECK(editing.load().record.table.find("b")->limit == 12);
 }
 
-TEST_CASE("two operators that change the same cell: the second is shown the collision") {
+TEST_CASE("the second of two operators that change the same cell gets a collision") {
     Editing editing;
     const auto base = editing.load();
     editing.store.before_swap = [&] {
@@ -138,7 +138,7 @@
     CHECK(editing.load().record.table.find("a")->limit == 11);
 }
 
-TEST_CASE("a lost answer is settled by reading back, and the change is made once") {
+TEST_CASE("a lost response is resolved by reading back, and the change is applied once") {
     Editing editing;
     const auto base = editing.load();
     editing.store.lose_answer = true;
