--- a/src/observability/bounded_output.cpp
+++ b/src/observability/bounded_output.cpp
@@ -9,7 +9,7 @@
 namespace anisehold::observability {
 namespace {
 
-/// A pipe that polls as writable takes at least this much without blocking (PIPE_BUF of Linux).
+/// A pipe reported writable by poll accepts at least this many bytes without blocking (PIPE_BUF on Linux).
 constexpr std::size_t kSafeWriteBytes = 4096;
 
 bool is_writable(int descriptor) {
@@ -25,7 +25,7 @@
 
 void BoundedOutput::append(const log4cplus::spi::InternalLoggingEvent& event) {
     const auto& line = event.getMessage();
-    if (buffer_.size() + line.size() + 1 > kMostBufferedBytes) {
+    if (buffer_.size() + line.size() + 1 > kMaxBufferedBytes) {
         ++dropped_lines_;
         return;
     }
--- a/src/observability/bounded_output.hpp
+++ b/src/observability/bounded_output.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Log output that never blocks: lines wait in a bounded buffer, and those that don't fit are counted and
-/// reported by the next one that does. Owns the buffer; the descriptor is the caller's.
+/// Non-blocking log output: lines wait in a bounded buffer, and lines that do not fit are counted and
+/// reported with the next line that does. Owns the buffer; the caller owns the descriptor. Relies on
+/// log4cplus.
 #pragma once
 
 #include <log4cplus/appender.h>
@@ -11,19 +12,19 @@
 
 namespace anisehold::observability {
 
-/// Writes lines to a descriptor as far as it takes them at once.
+/// Writes lines to a descriptor as far as possible without blocking.
 class BoundedOutput final : public log4cplus::Appender {
   public:
-    /// Largest sum of lines that wait, in bytes. Chosen, not measured.
-    static constexpr std::size_t kMostBufferedBytes = 256 * 1024;
+    /// Maximum size of the buffered lines.
+    static constexpr std::size_t kMaxBufferedBytes = 256 * 1024;
 
     explicit BoundedOutput(int descriptor) : descriptor_(descriptor) {}
     ~BoundedOutput() override;
 
-    /// `schedule` is called when lines begin to wait; it must bring about a later call of `flush`. Without
-    /// it every line is written at once.
+    /// `schedule` is called when the buffer becomes non-empty and must arrange a later call of `flush`.
+    /// Without a scheduler every line is written immediately.
     void set_scheduler(std::function<void()> schedule) { schedule_ = std::move(schedule); }
-    /// Writes what the descriptor takes without blocking.
+    /// Writes as much of the buffer as possible without blocking.
     void flush();
     void close() override;
 
--- a/src/observability/decision_ring.hpp
+++ b/src/observability/decision_ring.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The latest decisions of this daemon about calls, for `anisehold explain`. Owns them in memory only; older
-/// ones are dropped.
+/// The latest decisions of this daemon about calls, for `anisehold explain`. Owns the decisions, in memory
+/// only; the oldest are discarded.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 
 namespace anisehold::observability {
 
-/// What was decided. Log names are from `decision_step_name`.
+/// Kind of a decision. `decision_step_name` gives the names for logs.
 enum class DecisionStep {
     kReceived,
     kAccounted,
@@ -29,21 +29,20 @@
 /// One decision about one call.
 struct Decision {
     std::chrono::system_clock::time_point at;
-    std::string request_id;  ///< The root request's id.
+    std::string request_id;  ///< Id of the root request.
     std::string call_id;
     DecisionStep step = DecisionStep::kReceived;
     std::string detail;
 };
 
-/// Keeps the last `kCapacity` decisions.
+/// Ring of the latest `kCapacity` decisions.
 class DecisionRing {
   public:
-    /// Chosen, not measured.
     static constexpr std::size_t kCapacity = 20'000;
 
     void add(const std::string& request_id, const std::string& call_id, DecisionStep step,
              std::string detail);
-    /// All that is kept about a request, oldest first.
+    /// The recorded decisions about a request, oldest first.
     std::vector<Decision> find(std::string_view request_id) const;
 
   private:
--- a/src/observability/events.cpp
+++ b/src/observability/events.cpp
@@ -23,9 +23,9 @@
 
 using nlohmann::ordered_json;
 
-/// Lines that `recent_events` returns at most.
+/// Maximum number of lines returned by `recent_events`.
 constexpr std::size_t kRecentEvents = 500;
-/// Lines that wait for the thread that writes to standard error, at most.
+/// Maximum number of lines queued for the thread that writes to standard error.
 constexpr unsigned kLogQueue = 4096;
 
 std::string_view level_name(Level level) {
@@ -42,7 +42,7 @@
     return "info";
 }
 
-/// The one logger of the process and its ring of recent events.
+/// The process-wide logger and its ring of recent events.
 class EventLog {
   public:
     void start(const std::string& level, const std::string& layout, const std::string& member,
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Whether one more line of an ordinary success may be written; the first after skipped ones is preceded
-    /// by their number, at most once a second.
-    bool takes_routine_line(TimePoint now) {
+    /// Whether another routine line may be written. The first line after skipped lines is preceded by their
+    /// count, at most once a second.
+    bool admit_routine_line(TimePoint now) {
         if (!logging::takeLine(routine_lines_, now)) {
             return false;
         }
@@ -126,7 +126,7 @@
         }
         log4cplus::SharedAppenderPtr console(new log4cplus::ConsoleAppender(true, true));
         console->setLayout(std::make_unique<log4cplus::PatternLayout>("%m%n"));
-        // Writing to a slow terminal or pipe must not hold up the event loop.
+        // Writing to a slow terminal or pipe must not block the event loop.
         return log4cplus::SharedAppenderPtr(new log4cplus::AsyncAppender(console, kLogQueue));
     }
 
@@ -199,7 +199,7 @@
 }
 
 void log_routine(Event event, std::initializer_list<EventField> fields) {
-    if (event_log().takes_routine_line(TimePoint::clock::now())) {
+    if (event_log().admit_routine_line(TimePoint::clock::now())) {
         log_event(event, fields);
     }
 }
--- a/src/observability/events.hpp
+++ b/src/observability/events.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Numbered log events and the process's one log. Owns the catalogue (event_catalogue.cpp, which
-/// docs/EVENTS.md lists), the form of lines, and the ring of recent ones; relies on log4cplus for output.
-/// Nothing waits for the log: its volume is bounded, and lines that don't fit are counted.
+/// Numbered log events and the process-wide log. Owns the catalogue (event_catalogue.cpp, documented in
+/// docs/EVENTS.md), the format of lines and the ring of recent lines; relies on log4cplus for output. Logging
+/// never blocks: its volume is bounded, and lines that do not fit are counted.
 #pragma once
 
 #include <deque>
@@ -17,7 +17,7 @@
 
 namespace anisehold::observability {
 
-/// Events that aren't answers to a call; those have the numbers of the error table (2001 and up).
+/// Events other than responses to calls; responses use the numbers of the error table (2001 and up).
 enum class Event : unsigned {
     kStarted = 1001,
     kStopping = 1002,
@@ -78,7 +78,7 @@
     kMechanismOff = 1901,
 };
 
-/// How serious an event is; the settings say from which level on it is logged.
+/// Severity of an event; the settings define the minimum level that is logged.
 enum class Level { kDebug, kInfo, kWarn, kError };
 
 /// One row of the catalogue.
@@ -108,20 +108,19 @@
 /// Starts logging. `layout` is "json" or "text", `level` a name as in the settings.
 void start_logging(const std::string& level, const std::string& layout, const std::string& member,
                    LogOutput output = LogOutput::kStandardError);
-/// With standard output: has lines written in groups. `schedule` must bring about a later `flush_log`.
+/// Enables buffered writing to standard output. `schedule` must arrange a later call of `flush_log`.
 void set_log_scheduler(std::function<void()> schedule);
 void flush_log();
-/// Writes out what is pending.
+/// Writes pending lines and shuts down logging.
 void stop_logging();
 
-/// Writes a line at the event's level.
+/// Logs an event at its catalogue level.
 void log_event(Event event, std::initializer_list<EventField> fields);
-/// The same for an ordinary success: at most 200 lines a second, then some are skipped and counted.
+/// Logs a routine success event: at most 200 lines per second; further lines are skipped and counted.
 void log_routine(Event event, std::initializer_list<EventField> fields);
-/// Logs that an address could not be bound, if `error` says so; true if it was bound. `purpose` is for the
-/// log.
+/// Logs a bind failure if `error` is set; returns true if the address was bound. `purpose` is a log field.
 bool log_unless_bound(std::error_code error, const Endpoint& address, std::string_view purpose);
-/// Logs the answer of this kind that a call was given (at level debug: there may be thousands a second).
+/// Logs an error response to a call, at level debug because there may be thousands per second.
 void log_answer(ErrorKind kind, std::initializer_list<EventField> fields);
 
 /// The latest events as JSON lines, oldest first, for the admin port.
--- a/src/observability/metrics.cpp
+++ b/src/observability/metrics.cpp
@@ -42,14 +42,13 @@
                 "Requests refused because a server takes only so many a second, by service."},
 };
 
-/// The help text of a metric of the catalogue.
 std::string help_of(std::string_view name) {
     const auto* found = std::find_if(kCatalogue.begin(), kCatalogue.end(),
                                      [&](const MetricEntry& entry) { return entry.name == name; });
     return std::string(found->help);
 }
 
-/// Upper bounds in seconds. Chosen, not measured.
+/// Upper bounds in seconds.
 prometheus::Histogram::BucketBoundaries latency_buckets() {
     return {0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5};
 }
@@ -99,9 +98,9 @@
 
 Metrics::~Metrics() = default;
 
-void Metrics::count_answer(const std::string& row, unsigned status, Duration taken) {
+void Metrics::count_answer(const std::string& row, unsigned status, Duration elapsed) {
     families_->answers.Add({{"row", row}, {"status", status_class(status)}}).Increment();
-    const double taken_seconds = std::chrono::duration<double>(taken).count();
+    const double taken_seconds = std::chrono::duration<double>(elapsed).count();
     families_->call_seconds.Add({{"row", row}}, latency_buckets()).Observe(taken_seconds);
 }
 
--- a/src/observability/metrics.hpp
+++ b/src/observability/metrics.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The daemon's metrics, in Prometheus' text format. Owns their names, help texts and values; docs/METRICS.md
-/// lists the same. Every label value that is counted stays for the life of the process.
+/// The daemon's metrics in the Prometheus text format. Owns their names, help texts and values;
+/// docs/METRICS.md lists the same metrics. Every label value is kept for the lifetime of the process.
 #pragma once
 
 #include <memory>
@@ -13,24 +13,24 @@
 
 namespace anisehold::observability {
 
-/// One metric as it is documented.
+/// Catalogue entry of a metric.
 struct MetricEntry {
     std::string_view name;
     std::string_view type;
     std::string_view help;
 };
 
-/// All metrics there are.
+/// The catalogue of all metrics.
 std::span<const MetricEntry> metric_catalogue();
 
-/// Present values of one server's gate, in requests.
+/// Current values of one server's gate, in requests.
 struct GateMetrics {
     unsigned in_flight = 0;
     unsigned queued = 0;
     unsigned limit = 0;
 };
 
-/// Counts what the daemon does.
+/// The daemon's metrics.
 class Metrics {
   public:
     Metrics();
@@ -38,9 +38,9 @@
     Metrics(const Metrics&) = delete;
     Metrics& operator=(const Metrics&) = delete;
 
-    /// A call at the ingress ended with a back end's answer, so long after its arrival.
-    void count_answer(const std::string& row, unsigned status, Duration taken);
-    /// A call at the ingress ended with an error kind of ours.
+    /// Counts a call at the ingress that ended with a back end's response, `elapsed` after its arrival.
+    void count_answer(const std::string& row, unsigned status, Duration elapsed);
+    /// Counts a call at the ingress that ended with one of the daemon's error kinds.
     void count_error(const std::string& row, ErrorKind kind);
     void count_retry(const std::string& row);
     void count_dispatch(const std::string& service);
@@ -48,14 +48,15 @@
     void count_gossip_bytes(std::size_t sent, std::size_t received);
     void set_gate(const std::string& server, const GateMetrics& gate);
     void set_members(std::string_view state, std::size_t count);
-    /// The rate that the server of this service takes, in requests a second; infinity if it names none.
+    /// Sets the rate limit of the service's server in requests per second; infinity if the server reports
+    /// none.
     void set_server_rate(const std::string& service, double per_second);
     void count_rate_refusal(const std::string& service);
     void count_server_crash(const std::string& service);
     void set_suspects(std::string_view state, std::size_t count);
     void set_table_revision(std::uint64_t revision);
 
-    /// The text that a scraper gets.
+    /// The metrics in the text format for scraping.
     std::string text() const;
 
   private:
--- a/src/observability/suspension.hpp
+++ b/src/observability/suspension.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Notices that the machine was suspended, from a clock that counts suspensions and one that doesn't. Pure;
-/// who checks keeps the state.
+/// Detects suspensions of the machine by comparing a clock that counts suspended time with a clock that does
+/// not. Owns no state; the caller keeps it. Pure.
 #pragma once
 
 #include <optional>
@@ -9,22 +9,22 @@
 
 namespace anisehold::observability {
 
-/// Less than that between the two clocks is what their readings, one after the other, differ by in a process
-/// that is short of processor time. Chosen, not measured.
-inline constexpr milliseconds kLeastSuspension{200};
+/// Minimum difference reported as a suspension. Smaller differences arise between two consecutive clock
+/// readings in a process short of processor time.
+inline constexpr milliseconds kMinSuspension{200};
 
-/// How far the clock that counts suspensions was ahead of the one that doesn't, at the last check.
+/// Lead of the clock that counts suspensions over the other clock at the last check.
 struct SuspensionWatch {
-    std::optional<Duration> ahead;
+    std::optional<Duration> lead;
 };
 
-/// How long the machine was suspended since the last check; nothing if it wasn't. `steady`: the time since
-/// the epoch on the clock that stands still meanwhile. Pure.
+/// Duration of a suspension since the last check; empty if there was none. `steady` is the time since the
+/// epoch on the clock that stops during a suspension.
 inline std::optional<Duration> detect_suspension(SuspensionWatch& watch, TimePoint now, Duration steady) {
-    const auto ahead = now.time_since_epoch() - steady;
-    const auto gap = ahead - watch.ahead.value_or(ahead);
-    watch.ahead = ahead;
-    return gap >= kLeastSuspension ? std::optional(gap) : std::nullopt;
+    const auto lead = now.time_since_epoch() - steady;
+    const auto gap = lead - watch.lead.value_or(lead);
+    watch.lead = lead;
+    return gap >= kMinSuspension ? std::optional(gap) : std::nullopt;
 }
 
 }  // namespace anisehold::observability
--- a/tests/unit/observability/catalogue_test.cpp
+++ b/tests/unit/observability/catalogue_test.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("the page of events lists exactly the events of the code") {
+TEST_CASE("docs/EVENTS.md lists exactly the events in the code") {
     const auto text = page("EVENTS.md");
     std::size_t events = 0;
     for (const auto& entry : event_catalogue()) {
@@ -54,7 +54,7 @@
     CHECK(table_rows(text) == events);
 }
 
-TEST_CASE("the page of metrics lists exactly the metrics of the code") {
+TEST_CASE("docs/METRICS.md lists exactly the metrics in the code") {
     const auto text = page("METRICS.md");
     for (const auto& entry : metric_catalogue()) {
         const std::string line = "| `" + std::string(entry.name) + "` | " + std::string(entry.type) + " | " +
--- a/tests/unit/observability/suspension_test.cpp
+++ b/tests/unit/observability/suspension_test.cpp
@@ -5,7 +5,7 @@
 using namespace anisehold;
 using namespace anisehold::observability;
 
-TEST_CASE("a suspension shows once, as the time by which one clock has run ahead of the other") {
+TEST_CASE("a suspension is reported once, as the lead of one clock over the other") {
     SuspensionWatch watch;
     const TimePoint start{seconds(500)};
     const Duration steady = seconds(100);
@@ -15,7 +15,7 @@
     CHECK_FALSE(detect_suspension(watch, start + seconds(7), steady + seconds(3)));
 }
 
-TEST_CASE("a process that is short of processor time between two readings wasn't suspended") {
+TEST_CASE("a short delay between the two clock readings is not a suspension") {
     SuspensionWatch watch;
     const TimePoint start{seconds(500)};
     CHECK_FALSE(detect_suspension(watch, start, seconds(100)));
