--- a/src/logging/json_line.cpp
+++ b/src/logging/json_line.cpp
@@ -17,8 +17,8 @@
     return (byte & 0xC0U) == 0x80U;
 }
 
-/** Number of bytes of the well-formed UTF-8 sequence that `text` begins with (Unicode 15, table 3-7); 0 if it
-   begins with none. */
+/** Length in bytes of the well-formed UTF-8 sequence at the start of `text` (Unicode 15, table 3-7); 0 if
+    there is none. */
 std::size_t sequenceLength (std::string_view text)
 {
     const auto byte = [&] (std::size_t n)
--- a/src/logging/json_line.hpp
+++ b/src/logging/json_line.hpp
@@ -1,8 +1,8 @@
-/** Flat JSON objects of texts, written straight into one string.
+/** Writes flat JSON objects directly into a string.
 
-    A log line is built for each decision, so no tree of values is made on the way: that took 10 % of a
-   sidecar's processor time under load, by a profile. Bytes that aren't UTF-8 become the replacement
-   character: requests bring any bytes. Pure.
+    A log line is built for each decision, so no intermediate tree of values is created: building one took
+    10 % of a sidecar's processor time under load. Bytes that are not valid UTF-8, which requests may
+    contain, are replaced by the replacement character. Pure.
 */
 #pragma once
 
@@ -12,16 +12,15 @@
 namespace anisehold::logging
 {
 
-/** Begins an empty object; `finishLine` must end it. */
+/** Begins an empty object; must be ended by `finishLine`. */
 std::string beginLine();
 
-/** Adds a field whose value is a text. */
+/** Adds a string field. */
 void appendField (std::string& line, std::string_view name, std::string_view value);
 
-/** Adds a field whose value is a number. */
+/** Adds a numeric field. */
 void appendField (std::string& line, std::string_view name, unsigned value);
 
-/** Ends the object. */
 void finishLine (std::string& line);
 
 } // namespace anisehold::logging
--- a/src/logging/line_budget.hpp
+++ b/src/logging/line_budget.hpp
@@ -1,6 +1,5 @@
-/** Bounds the lines of ordinary successes, so that those of failures stay affordable under load. The state is
-   the caller's. Pure.
-*/
+/** Limits the rate of log lines for routine successes, so that failures can be logged under load. The
+    caller owns the state. Pure. */
 #pragma once
 
 #include <algorithm>
@@ -12,27 +11,28 @@
 namespace anisehold::logging
 {
 
-/** A token bucket of lines. The rate and the size are chosen, not measured. */
+/** Token bucket for log lines. */
 struct LineBudget
 {
     double perSecond = 200;
-    double most = 400; /**< Tokens that are saved up in quiet times. */
+    double maxTokens = 400; /**< Capacity of the bucket. */
     double tokens = 400;
     TimePoint updated;
-    std::uint64_t skipped = 0; /**< Lines that were not written since `takeSkipped`. */
-    TimePoint reported;        /**< When skipped lines were last taken. */
+    std::uint64_t skipped = 0; /**< Lines skipped since the last `takeSkipped`. */
+    TimePoint reported;        /**< Time of the last report of skipped lines. */
 };
 
-/** Least time between two reports of skipped lines. Without it such reports were 126 of 433 lines of the
-   busiest of 15 processes, at the cost of the failures' lines. */
-inline constexpr seconds leastSkippedGap{ 1 };
+/** Minimum time between two reports of skipped lines. Without this limit, 126 of 433 lines of the busiest
+    of 15 processes were such reports and displaced lines of failures. */
+inline constexpr seconds minSkippedReportInterval{ 1 };
 
-/** Takes one line's token; false, and one more skipped line, if there is none. */
+/** Consumes a token for one line; returns false and counts the line as skipped if there is none. */
 inline bool takeLine (LineBudget& budget, TimePoint now)
 {
-    const std::chrono::duration<double> passed = now - budget.updated;
+    const std::chrono::duration<double> elapsed = now - budget.updated;
     budget.updated = now;
-    budget.tokens = std::min (budget.most, budget.tokens + budget.perSecond * std::max (0.0, passed.count()));
+    budget.tokens =
+        std::min (budget.maxTokens, budget.tokens + budget.perSecond * std::max (0.0, elapsed.count()));
 
     if (budget.tokens < 1)
     {
@@ -44,10 +44,11 @@
     return true;
 }
 
-/** Number of lines skipped since the last report; 0 if that is less than `leastSkippedGap` ago. */
+/** Number of lines skipped since the last report; 0 if the last report is more recent than
+    `minSkippedReportInterval`. */
 inline std::uint64_t takeSkipped (LineBudget& budget, TimePoint now)
 {
-    if (budget.skipped == 0 || now - budget.reported < leastSkippedGap)
+    if (budget.skipped == 0 || now - budget.reported < minSkippedReportInterval)
         return 0;
 
     budget.reported = now;
--- a/tests/unit/logging/json_line_test.cpp
+++ b/tests/unit/logging/json_line_test.cpp
@@ -47,7 +47,7 @@
     CHECK (json::parse (lineOf (value)).at ("value").get<std::string>() == value);
 }
 
-TEST_CASE ("any bytes give a line that parses", "[logging]")
+TEST_CASE ("arbitrary bytes yield a line that parses", "[logging]")
 {
     std::mt19937 random (5);
 
--- a/tests/unit/logging/line_budget_test.cpp
+++ b/tests/unit/logging/line_budget_test.cpp
@@ -23,7 +23,7 @@
     CHECK (takeSkipped (budget, now) == 0);
 }
 
-TEST_CASE ("skipped lines are told once a second, and none is forgotten", "[logging]")
+TEST_CASE ("skipped lines are reported once a second, and all are counted", "[logging]")
 {
     TimePoint now (seconds (10));
     LineBudget budget;
@@ -44,7 +44,7 @@
         tellings += skipped > 0 ? 1 : 0;
     }
 
-    now += leastSkippedGap;
+    now += minSkippedReportInterval;
     told += takeSkipped (budget, now);
     CHECK (tellings >= 5);
     CHECK (tellings <= 10);
--- a/tests/unit/logging/utc_time_test.cpp
+++ b/tests/unit/logging/utc_time_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace anisehold;
 
-TEST_CASE ("a moment is written in UTC with milliseconds", "[logging]")
+TEST_CASE ("a time is written in UTC with milliseconds", "[logging]")
 {
     const std::chrono::system_clock::time_point epoch{};
     CHECK (logging::utcText (epoch) == "1970-01-01T00:00:00.000Z");
