--- a/src/explain/failure_summary.cpp
+++ b/src/explain/failure_summary.cpp
@@ -17,7 +17,7 @@
 };
 
 constexpr std::array<CauseName, 15> causeNames{ { { FailureCause::refusedEarly, "refused-early" },
-                                                  { FailureCause::refusedAtGates, "no-room" },
+                                                  { FailureCause::rejectedAtGates, "no-room" },
                                                   { FailureCause::noServer, "no-server" },
                                                   { FailureCause::unreachable, "unreachable" },
                                                   { FailureCause::serverFailed, "server-failed" },
@@ -32,14 +32,14 @@
                                                   { FailureCause::quotaUnknown, "quota-unknown" },
                                                   { FailureCause::other, "other" } } };
 
-/** Whether the outcome is a server's status, and which. */
+/** Whether the outcome is a server's HTTP status. */
 bool isStatus (const std::string& outcome)
 {
     return ! outcome.empty() &&
            std::all_of (outcome.begin(), outcome.end(), [] (char it) { return it >= '0' && it <= '9'; });
 }
 
-/** Causes that lie with the caller's key or its tenant's quota have the outcome's own name. */
+/** Causes related to the caller's key or its tenant's quota have the same names as their outcomes. */
 FailureCause tenancyCauseOf (const std::string& outcome)
 {
     constexpr std::array causes{ FailureCause::unauthorized, FailureCause::keyUnproven,
@@ -58,10 +58,10 @@
         return FailureCause::serverFailed;
 
     if (outcome == "overloaded")
-        return attempts.empty() ? FailureCause::refusedEarly : FailureCause::refusedAtGates;
+        return attempts.empty() ? FailureCause::refusedEarly : FailureCause::rejectedAtGates;
 
     if (outcome == "queue-timeout")
-        return FailureCause::refusedAtGates;
+        return FailureCause::rejectedAtGates;
 
     if (outcome == "no-backend")
         return attempts.empty() ? FailureCause::noServer : FailureCause::unreachable;
@@ -84,13 +84,13 @@
     return tenancyCauseOf (outcome);
 }
 
-/** The text, filled up to `width` and followed by a space at least. */
+/** The text padded to `width`, followed by at least one space. */
 std::string column (const std::string& text, std::size_t width)
 {
     return text + std::string (std::max (width, text.size() + 1) - text.size(), ' ');
 }
 
-/** Served requests are most lines: they are known by their text alone. */
+/** Detects served requests, the majority of lines, without parsing them. */
 bool isServed (const std::string& text)
 {
     return text.find ("\"outcome\":\"2") != std::string::npos ||
@@ -165,7 +165,7 @@
                 column (most, 14) + count.example + "\n";
     }
 
-    return text + "served, as far as the logs tell: " + std::to_string (summary.served) + "\n";
+    return text + "served requests found in the logs: " + std::to_string (summary.served) + "\n";
 }
 
 } // namespace anisehold::explain
--- a/src/explain/failure_summary.hpp
+++ b/src/explain/failure_summary.hpp
@@ -1,6 +1,5 @@
-/** Groups the refused and failed requests of any number of logs by cause, route and second. Relies on the
-   names and fields of the log's `ingress-call` lines. Pure, but for reading the logs.
-*/
+/** Groups the rejected and failed requests in any number of logs by cause, route and second. Owns no
+    state; relies on the names and fields of `ingress-call` log lines. Pure, except for reading the logs. */
 #pragma once
 
 #include <cstdint>
@@ -15,30 +14,30 @@
 namespace anisehold::explain
 {
 
-/** Why a request wasn't served, as the daemon that took it saw it. */
+/** Why a request was not served, from the point of view of the daemon that received it. */
 enum class FailureCause
 {
-    refusedEarly,    /**< The limit of root requests; no server was tried. */
-    refusedAtGates,  /**< All servers that were tried refused it at their gates. */
+    refusedEarly,    /**< Rejected by the limit of root requests; no server was tried. */
+    rejectedAtGates, /**< Rejected at the gates of all tried servers. */
     noServer,        /**< No server of the service was known. */
-    unreachable,     /**< Servers could not be connected to. */
-    serverFailed,    /**< A server's own answer says that it failed. */
-    serverDeclined,  /**< Servers declared that they ran nothing. */
-    outcomeUnknown,  /**< It was sent, and no whole answer came. */
-    timeUp,          /**< Its time ran out. */
-    callerLeft,      /**< Its caller went away. */
-    noConfiguration, /**< The daemon had none yet. */
-    unauthorized,    /**< No key, or one that no tenant holds. */
-    keyUnproven,     /**< The daemon couldn't know whether the key was in force. */
-    quotaExceeded,   /**< The tenant had used up its quota. */
-    quotaUnknown,    /**< The daemon that counts the tenant's requests didn't answer. */
-    other            /**< Named by the outcome in the log: bad input, for one. */
+    unreachable,     /**< Connections to servers failed. */
+    serverFailed,    /**< A server's own response reports a failure. */
+    serverDeclined,  /**< Servers declared that they executed nothing. */
+    outcomeUnknown,  /**< The request was sent and no complete response arrived. */
+    timeUp,          /**< The request's deadline was exceeded. */
+    callerLeft,      /**< The caller disconnected. */
+    noConfiguration, /**< The daemon had no configuration yet. */
+    unauthorized,    /**< The request had no key or a key of no tenant. */
+    keyUnproven,     /**< The daemon could not verify that the key was in force. */
+    quotaExceeded,   /**< The tenant had exhausted its quota. */
+    quotaUnknown,    /**< The daemon that counts the tenant's requests did not respond. */
+    other            /**< Any other outcome in the log, such as bad input. */
 };
 
 /** Stable lower-case name: "refused-early". */
 std::string_view nameOf (FailureCause);
 
-/** What is counted together. */
+/** Key by which failures are grouped. */
 struct FailureGroup
 {
     FailureCause cause = FailureCause::other;
@@ -51,27 +50,27 @@
     }
 };
 
-/** The requests of one group. */
+/** Counts of one group. */
 struct FailureCount
 {
     std::uint64_t total = 0;
     std::map<std::int64_t, std::uint64_t> bySecond; /**< Seconds since 1970. */
-    std::string example;                            /**< A request's id, for `explain`. */
+    std::string example;                            /**< Id of a request, for `explain`. */
 };
 
-/** All that was read. */
+/** Result of reading the logs. */
 struct FailureSummary
 {
-    std::uint64_t served =
-        0; /**< Lines of requests with a good answer; their number is bounded in the logs. */
+    std::uint64_t served = 0; /**< Log lines of requests with a successful response; the logs contain a
+                                 bounded number of them. */
     std::map<FailureGroup, FailureCount> groups;
 };
 
-/** Reads a log to its end. Lines of other events, and those that are malformed, are passed over. */
+/** Reads a log to its end. Lines of other events and malformed lines are skipped. */
 void addLog (FailureSummary&, std::istream&);
 
-/** A table, most frequent first: count, cause, route, service, first and last second, the worst second and
-   its count, example. Seconds count from the first failure of all. */
+/** A table of the groups, most frequent first: count, cause, route, service, first and last second, the
+    second with the most failures and its count, example. Seconds count from the first failure overall. */
 std::string describe (const FailureSummary&);
 
 } // namespace anisehold::explain
--- a/src/explain/log_line.cpp
+++ b/src/explain/log_line.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-/** Reads 2026-12-02T10:11:12.345Z. */
+/** Parses a time such as 2026-12-02T10:11:12.345Z. */
 std::optional<milliseconds> readTime (const std::string& text)
 {
     std::tm parts{};
--- a/src/explain/log_line.hpp
+++ b/src/explain/log_line.hpp
@@ -1,4 +1,5 @@
-/** One line of a process's log, read back. Relies on the form of lines of `observability/events.hpp`. */
+/** Parses lines of a process's log. Owns no state; relies on the line format of
+    `observability/events.hpp`. */
 #pragma once
 
 #include <istream>
@@ -13,25 +14,25 @@
 namespace anisehold::explain
 {
 
-/** A decision as it was logged. */
+/** A parsed log line. */
 struct LogLine
 {
-    std::string time;                          /**< As it stands in the line: UTC, to the millisecond. */
-    milliseconds at{ 0 };                      /**< The same, since 1970. */
-    std::string member;                        /**< The process. */
-    std::string name;                          /**< Of the event. */
-    std::map<std::string, std::string> fields; /**< All others. */
+    std::string time;                          /**< Verbatim from the line: UTC, with milliseconds. */
+    milliseconds at{ 0 };                      /**< Parsed time since 1970. */
+    std::string member;                        /**< Name of the process. */
+    std::string name;                          /**< Name of the event. */
+    std::map<std::string, std::string> fields; /**< All other fields. */
 };
 
-/** Nothing if the text isn't a line of a sidecar's log. What stands before the first brace is skipped:
-   collectors put names and times of their own there. */
+/** Parses a line; empty if the text is not a line of a sidecar's log. Text before the first brace is
+    skipped, because log collectors insert names and times there. */
 std::optional<LogLine> parseLogLine (std::string_view text);
 
-/** Adds the lines of `input` that can belong to the story of a request: its own, failed calls, and changes of
-    servers and limits. Logs are large; all other lines are passed over unread. */
+/** Adds the lines of `input` that may be relevant to a request: its own lines, failed calls, and changes
+    of servers and limits. Logs are large, so all other lines are skipped without parsing. */
 void readRelevantLines (std::istream& input, const std::string& requestId, std::vector<LogLine>& lines);
 
-/** A field's value, or an empty text. */
+/** A field's value; empty if the field is missing. */
 std::string fieldOf (const LogLine&, const std::string& name);
 
 } // namespace anisehold::explain
--- a/src/explain/request_trace.cpp
+++ b/src/explain/request_trace.cpp
@@ -8,14 +8,15 @@
 namespace
 {
 
-/** How long before a request a change of its servers is still listed. Chosen, not measured, as all here. */
+/** Maximum age of a server change listed before a request. */
 constexpr milliseconds changeHorizon{ 10'000 };
-/** Most calls that failed below which are listed. */
-constexpr std::size_t mostFailedBelow = 5;
-/** Lines of one moment may stand in another order in two processes' clocks. */
+/** Maximum number of failed nested calls listed. */
+constexpr std::size_t maxFailedNestedCalls = 5;
+/** Tolerance for clock differences between processes, by which simultaneous lines may appear in a
+    different order. */
 constexpr milliseconds clockSlack{ 20 };
 
-milliseconds takenOf (const LogLine& line)
+milliseconds elapsedOf (const LogLine& line)
 {
     return milliseconds (std::strtoll (fieldOf (line, "taken_ms").c_str(), nullptr, 10));
 }
@@ -44,27 +45,29 @@
     return own;
 }
 
-/** Failed calls of the gate's machine while the request ran at its server. */
-void addFailedBelow (std::vector<TraceStep>& steps, const std::vector<LogLine>& lines, const LogLine& gate)
+/** Adds failed calls made by the gate's machine while the request was executed at its server. */
+void addFailedNestedCalls (std::vector<TraceStep>& steps, const std::vector<LogLine>& lines,
+                           const LogLine& gate)
 {
     std::size_t n = 0;
 
     for (const auto& it : lines)
     {
         const bool isMeanwhile =
-            it.at >= gate.at - takenOf (gate) - clockSlack && it.at <= gate.at + clockSlack;
+            it.at >= gate.at - elapsedOf (gate) - clockSlack && it.at <= gate.at + clockSlack;
 
         if (it.member != gate.member || it.name != "ingress-call" || ! isMeanwhile || hasSucceeded (it))
             continue;
 
-        if (fieldOf (it, "request_id") == fieldOf (gate, "request_id") || ++n > mostFailedBelow)
+        if (fieldOf (it, "request_id") == fieldOf (gate, "request_id") || ++n > maxFailedNestedCalls)
             continue;
 
-        steps.push_back ({ Relevance::failedBelow, it });
+        steps.push_back ({ Relevance::failedNestedCall, it });
     }
 }
 
-/** The last move of each service's limit at the ingress's machine, if it still refuses. */
+/** Adds the latest change of each service's limit on the ingress's machine, if the limit still rejects
+    requests. */
 void addLimits (std::vector<TraceStep>& steps, const std::vector<LogLine>& lines, const LogLine& ingress)
 {
     std::map<std::string, LogLine> latest;
@@ -95,9 +98,9 @@
     for (const auto& it : lines)
     {
         const auto server = fieldOf (it, "server");
-        const bool isNear = it.at <= ingress.at && it.at + changeHorizon >= ingress.at;
+        const bool isRecent = it.at <= ingress.at && it.at + changeHorizon >= ingress.at;
 
-        if (! isServerChange (it) || ! isNear || server.empty() ||
+        if (! isServerChange (it) || ! isRecent || server.empty() ||
             attempts.find (server) == std::string::npos)
             continue;
 
@@ -114,12 +117,12 @@
     {
         case Relevance::own:
             return "request";
-        case Relevance::failedBelow:
-            return "failed below, maybe of this request";
+        case Relevance::failedNestedCall:
+            return "failed nested call, possibly of this request";
         case Relevance::limitInForce:
             return "limit in force";
         case Relevance::serverChange:
-            return "server changed before";
+            return "server change before the request";
     }
 
     return "";
@@ -137,7 +140,7 @@
         const bool isIngress = it.name == "ingress-call";
 
         if (it.name == "gate-call" && fieldOf (it, "status").starts_with ("5"))
-            addFailedBelow (steps, lines, it);
+            addFailedNestedCalls (steps, lines, it);
 
         if (isIngress && fieldOf (it, "attempts").empty())
             addLimits (steps, lines, it);
--- a/src/explain/request_trace.hpp
+++ b/src/explain/request_trace.hpp
@@ -1,6 +1,5 @@
-/** What the logs of a fleet say of one request: its own lines, and those that led to its outcome. Relies on
-   the names and fields of log lines. Pure.
-*/
+/** Traces one request through the logs of a fleet: its own lines and the lines that explain its outcome.
+    Owns no state; relies on the names and fields of log lines. Pure. */
 #pragma once
 
 #include <string>
@@ -11,27 +10,27 @@
 namespace anisehold::explain
 {
 
-/** Why a line belongs to the story. */
+/** Why a line belongs to the trace. */
 enum class Relevance
 {
-    own,         /**< It bears the request's id. */
-    failedBelow, /**< A call that the server's machine made meanwhile failed: it may be one of this request's.
-                  */
-    limitInForce, /**< The limit that refused it early. */
-    serverChange  /**< One of its servers appeared, left or fell silent shortly before. */
+    own,              /**< The line has the request's id. */
+    failedNestedCall, /**< A call that the server's machine made at that time failed; the call may belong to
+                         this request. */
+    limitInForce,     /**< The limit that rejected the request before any server was tried. */
+    serverChange      /**< One of the request's servers appeared, left or became silent shortly before. */
 };
 
-/** One line of the story. */
+/** One line of the trace. */
 struct TraceStep
 {
     Relevance relevance = Relevance::own;
     LogLine line;
 };
 
-/** Picks the lines of the story out of those of all processes, in order of time. */
+/** Selects the lines of the trace from the lines of all processes, in chronological order. */
 std::vector<TraceStep> traceRequest (const std::vector<LogLine>& lines, const std::string& requestId);
 
-/** The story as text, a line each. Empty if nothing is known of the request. */
+/** The trace as text, one line per step. Empty if the logs have no lines of the request. */
 std::string describe (const std::vector<TraceStep>&);
 
 } // namespace anisehold::explain
--- a/tests/unit/explain/failure_summary_test.cpp
+++ b/tests/unit/explain/failure_summary_test.cpp
@@ -39,8 +39,8 @@
     };
     const std::vector<Row> rows{
         { "overloaded", "", FailureCause::refusedEarly },
-        { "overloaded", "i-1:not-sent/overloaded:1ms:age2", FailureCause::refusedAtGates },
-        { "queue-timeout", "", FailureCause::refusedAtGates },
+        { "overloaded", "i-1:not-sent/overloaded:1ms:age2", FailureCause::rejectedAtGates },
+        { "queue-timeout", "", FailureCause::rejectedAtGates },
         { "no-backend", "", FailureCause::noServer },
         { "no-backend", "i-1:not-sent/connect-failed:1ms:age2", FailureCause::unreachable },
         { "500", "i-1:500:1ms:age2", FailureCause::serverFailed },
--- a/tests/unit/explain/request_trace_test.cpp
+++ b/tests/unit/explain/request_trace_test.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** A line of `member` at second `second`, with more fields as JSON. */
+/** A line of `member` at second `second`, with additional fields as JSON. */
 LogLine line (const std::string& second, const std::string& member, const std::string& name,
               const std::string& fields)
 {
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE ("a line is read with its time, and what a collector puts before it is skipped", "[explain]")
+TEST_CASE ("a line is parsed with its time, and a collector's prefix is skipped", "[explain]")
 {
     const auto parsed = parseLogLine (
         R"(7.25 host-1 {"time":"2026-12-02T10:00:01.250Z","level":"info","event":1601,"name":"n","member":"m","a":"b"})");
@@ -47,7 +47,7 @@
     CHECK_FALSE (parseLogLine ("{broken"));
 }
 
-TEST_CASE ("a request's lines of all processes stand in order of time", "[explain]")
+TEST_CASE ("a request's lines of all processes are in chronological order", "[explain]")
 {
     const std::vector<LogLine> lines{
         line ("02.000", "a", "ingress-call", R"("request_id":"r1","attempts":"i-1:200","outcome":"200")"),
@@ -75,7 +75,7 @@
     CHECK (fieldOf (steps[0].line, "to") == "0.4");
 }
 
-TEST_CASE ("a failure of a server shows the calls that failed on its machine meanwhile", "[explain]")
+TEST_CASE ("a server failure shows the calls that failed on its machine at that time", "[explain]")
 {
     const std::vector<LogLine> lines{
         line ("01.000", "b", "ingress-call", R"("request_id":"early","outcome":"overloaded")"),
@@ -86,11 +86,11 @@
               R"("request_id":"r1","status":"500","taken_ms":"500","outcome":"answered")")
     };
     const auto steps = traceRequest (lines, "r1");
-    REQUIRE (relevancesOf (steps) == std::vector{ Relevance::failedBelow, Relevance::own });
+    REQUIRE (relevancesOf (steps) == std::vector{ Relevance::failedNestedCall, Relevance::own });
     CHECK (fieldOf (steps[0].line, "request_id") == "nested");
 }
 
-TEST_CASE ("a failed request shows what became of its servers before", "[explain]")
+TEST_CASE ("a failed request shows preceding changes of its servers", "[explain]")
 {
     const std::vector<LogLine> lines{
         line ("00.000", "b", "server-silent", R"("server":"i-1")"),
@@ -104,7 +104,7 @@
            std::vector{ Relevance::serverChange, Relevance::serverChange, Relevance::own });
 }
 
-TEST_CASE ("only lines that can matter are read", "[explain]")
+TEST_CASE ("only relevant lines are parsed", "[explain]")
 {
     const std::string head = R"({"time":"2026-12-02T10:00:01.000Z","member":"m",)";
     std::istringstream input (head + R"("name":"ingress-call","request_id":"r1","outcome":"200"})" + "\n" +
