--- a/tests/unit/wire/call_context_golden_test.cpp
+++ b/tests/unit/wire/call_context_golden_test.cpp
@@ -25,7 +25,7 @@
 
 TEST_CASE("a call context keeps its text and its authentication code", "[golden]") {
     CallContext least;
-    // Ids and a home are needed for a context to be taken.
+    // A context is only accepted with ids and a home.
     least.root_id = full_context().root_id;
     least.call_id = full_context().call_id;
     least.home = "d";
@@ -38,7 +38,7 @@
                        });
 }
 
-TEST_CASE("the fields of a call context that was written earlier read back", "[golden]") {
+TEST_CASE("the fields of a previously written call context are decoded", "[golden]") {
     const auto samples = golden::texts_in("call-context.txt");
     REQUIRE(samples.size() == 2);
     const auto context = decode_call_context(samples[0].bytes, kKey);
--- a/tests/unit/wire/catalogue_golden_test.cpp
+++ b/tests/unit/wire/catalogue_golden_test.cpp
@@ -40,7 +40,7 @@
     return text;
 }
 
-/// The lines in order of their text: the order of samples in a family is the library's and means nothing.
+/// Sorts the lines, because the library's order of samples in a family is unspecified.
 std::string sorted_lines(const std::string& text) {
     std::istringstream stream(text);
     std::vector<std::string> lines;
@@ -55,7 +55,7 @@
     return sorted;
 }
 
-/// Shows carriage returns, which editors hide or drop.
+/// Makes carriage returns visible, which editors hide or drop.
 std::string with_visible_returns(const std::string& text) {
     std::string shown;
     for (const char character : text) {
@@ -122,7 +122,7 @@
     golden::check("catalogue_metrics.txt", text);
 }
 
-TEST_CASE("what a scraper gets, with every metric and label", "[golden]") {
+TEST_CASE("the text format of every metric and label", "[golden]") {
     observability::Metrics metrics;
     metrics.count_answer("row", 204, milliseconds(3));
     metrics.count_answer("row", 503, milliseconds(700));
@@ -166,7 +166,7 @@
     golden::check("catalogue_names.txt", text + "all: " + config::mechanism_names() + "\n");
 }
 
-TEST_CASE("a table as CSV, as the store's record, and the words for what is wrong", "[golden]") {
+TEST_CASE("a table as CSV, its record in the store, and its error messages", "[golden]") {
     const auto good = config::parse_table_csv(kTable);
     REQUIRE(good.errors.empty());
     std::string text = "-- CSV\n" + with_visible_returns(config::to_csv(good.table));
@@ -199,7 +199,7 @@
     golden::check("catalogue_log_line.txt", line + "\n");
 }
 
-TEST_CASE("the line of an event and that of an answer", "[golden]") {
+TEST_CASE("the log lines of an event and of an error response", "[golden]") {
     observability::start_logging("debug", "json", "n1");
     const auto before = observability::recent_events().size();
     observability::log_event(observability::Event::kServerRegistered,
--- a/tests/unit/wire/datagram_golden_test.cpp
+++ b/tests/unit/wire/datagram_golden_test.cpp
@@ -82,7 +82,7 @@
                        });
 }
 
-TEST_CASE("the fields of a peer's record that was written earlier read back", "[golden]") {
+TEST_CASE("the fields of a previously written peer record are decoded", "[golden]") {
     const auto samples = golden::dumped_in("peer-record.txt");
     REQUIRE(samples.size() == 3);
     const auto record = membership::decode_peer_record(samples[0].bytes);
@@ -109,7 +109,7 @@
     CHECK(record->pressures[0].recentRefused == 21);
 }
 
-TEST_CASE("news of crashes keep their bytes", "[golden]") {
+TEST_CASE("crash messages keep their bytes", "[golden]") {
     golden::check_dump(
         "crash-news.txt",
         {{"every field set", encode(full_news())}, {"defaults", encode(suspects::CrashReport{})}},
@@ -130,7 +130,7 @@
     });
 }
 
-TEST_CASE("datagrams of one port are told apart by their first byte", "[golden]") {
+TEST_CASE("datagrams on one port are distinguished by their first byte", "[golden]") {
     const auto record = encode(full_record());
     const auto report = encode(full_news());
     const auto tenants = tenancy::encode(kTenancyMessages.front());
--- a/tests/unit/wire/digest_golden_test.cpp
+++ b/tests/unit/wire/digest_golden_test.cpp
@@ -15,7 +15,7 @@
 constexpr std::array<const char*, 3> kKeys{"", "key-1",
                                            "a key that is longer than the digest's short inputs"};
 
-/// Bytes of every value, so that short, middle and long inputs of the digest are all taken.
+/// A text of every byte value, from which short, medium and long inputs of the digest are cut.
 std::string long_text() {
     std::string text;
     for (int value = 0; value < 1'000; ++value) {
@@ -39,7 +39,7 @@
     golden::check("digests.txt", text);
 }
 
-TEST_CASE("digests of fixed requests stay the same, and their texts read back", "[golden]") {
+TEST_CASE("digests of fixed requests stay the same, and their texts parse", "[golden]") {
     golden::check_text(
         "request-digests.txt",
         {{"GET with a body", digest_of({"GET", "shop.example", "/read/2f?a=b", "body"}).text()},
--- a/tests/unit/wire/golden.hpp
+++ b/tests/unit/wire/golden.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Compares what the code writes with files that an earlier version of it wrote (`tests/unit/wire/golden`).
-/// A difference means that other versions, the platform or operators' tools would read something else.
+/// Compares the code's output with golden files written by an earlier version (`tests/unit/wire/golden`). A
+/// difference means that other versions, the platform or operators' tools would read different data.
 #pragma once
 
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace anisehold::golden {
 
-/// Bytes as lines of hexadecimal pairs, 16 bytes a line, each with its printable characters.
+/// A hex dump with 16 bytes per line, each line followed by its printable characters.
 std::string hex_dump(std::string_view bytes);
 
-/// Fails unless `actual` is what the file says, byte for byte. The text that was written instead is left
-/// beside the test program, in `golden-actual/`, to be compared by hand; nothing overwrites a golden file.
+/// Fails unless `actual` equals the file's content byte for byte. On a mismatch the actual text is written to
+/// `golden-actual/` in the working directory for comparison; golden files are never overwritten.
 void check(const std::string& file, const std::string& actual);
 
 }  // namespace anisehold::golden
--- a/tests/unit/wire/hop_header_golden_test.cpp
+++ b/tests/unit/wire/hop_header_golden_test.cpp
@@ -50,7 +50,7 @@
     });
 }
 
-TEST_CASE("the fields of a hop result that was written earlier read back", "[golden]") {
+TEST_CASE("the fields of a previously written hop result are decoded", "[golden]") {
     const auto samples = golden::texts_in("hop-result.txt");
     REQUIRE(samples.size() == 5);
     const auto result = decode_hop_result(samples[1].bytes);
@@ -68,7 +68,7 @@
     CHECK(result->overloaded_service == "stock");
 }
 
-TEST_CASE("the fields of a hop request that was written earlier read back", "[golden]") {
+TEST_CASE("the fields of a previously written hop request are decoded", "[golden]") {
     const auto samples = golden::texts_in("hop-request.txt");
     REQUIRE(samples.size() == 2);
     const auto request = decode_hop_request(samples[0].bytes);
--- a/tests/unit/wire/peer_messages_golden_test.cpp
+++ b/tests/unit/wire/peer_messages_golden_test.cpp
@@ -82,7 +82,7 @@
                        });
 }
 
-TEST_CASE("the fields of a gossip message that was written earlier read back", "[golden]") {
+TEST_CASE("the fields of a previously written gossip message are decoded", "[golden]") {
     const auto samples = golden::dumped_in("gossip.txt");
     REQUIRE(samples.size() == 5);
     const auto message = decode_gossip(samples[2].bytes, kKey);
@@ -175,7 +175,7 @@
     golden::check_dump("peer-replies.txt", samples, reply_again);
 }
 
-TEST_CASE("fields of requests and replies that were written earlier read back", "[golden]") {
+TEST_CASE("the fields of previously written requests and replies are decoded", "[golden]") {
     const auto requests = golden::dumped_in("peer-requests.txt");
     REQUIRE(requests.size() == 22);
     const auto settle_bytes = decode_request(requests[16].bytes, kKey);
--- a/tests/unit/wire/platform_calls_test.cpp
+++ b/tests/unit/wire/platform_calls_test.cpp
@@ -23,7 +23,7 @@
     return text;
 }
 
-/// A request with every header line that a client might send, in odd letter cases too.
+/// A request with every header line that a client may send, including unusual letter case.
 net::HttpRequest client_request() {
     auto request = net::make_request("GET", "/a");
     request.fields.add("Host", "shop.example");
@@ -106,7 +106,7 @@
 
 }  // namespace
 
-TEST_CASE("what is read of a client's call", "[golden]") {
+TEST_CASE("parsing of a client's call", "[golden]") {
     std::string text = "every line\n" + client_call_text(client_request());
     text += "no line\n" + client_call_text(net::make_request("GET", "/a"));
     for (const std::string deadline : {"0", "4294967295", "4294967296", "-1", "12ms", "1.5", " 7", ""}) {
@@ -117,7 +117,7 @@
     golden::check("platform_client_call.txt", text);
 }
 
-TEST_CASE("the header lines that a server is told", "[golden]") {
+TEST_CASE("the header lines sent to a server", "[golden]") {
     auto request = client_request();
     std::string text = "as it came\n" + text_of(request.fields);
     Dialect().write_server_call(request, {"i-1", "orders", milliseconds(900)});
@@ -163,7 +163,7 @@
     golden::check("platform_answer_nature.txt", text);
 }
 
-TEST_CASE("the time to come back", "[golden]") {
+TEST_CASE("the delay in Retry-After", "[golden]") {
     std::string text;
     for (const int wait : {0, 1, 50, 999, 1'000, 1'500, 61'234, 3'600'000}) {
         text += retry_after_text(milliseconds(wait));
@@ -179,7 +179,7 @@
                       readiness_text("GET", "/readiness") + readiness_text("GET", "/"));
 }
 
-TEST_CASE("what a server says of its health", "[golden]") {
+TEST_CASE("parsing of a server's health response", "[golden]") {
     const net::HeaderField instance{"Instance-Id", "i-1"};
     std::string text = health_text(200, {}) + health_text(200, {instance}) + health_text(204, {instance}) +
                        health_text(199, {instance}) + health_text(300, {instance}) +
@@ -191,7 +191,7 @@
     golden::check("platform_health.txt", text);
 }
 
-TEST_CASE("names of the calls to the store, and of what stands there", "[golden]") {
+TEST_CASE("names of store calls and of stored keys", "[golden]") {
     const std::vector<std::pair<std::string_view, std::string_view>> spellings{
         {"path of reads", names::kKeyPath},
         {"path of lists", names::kRangePath},
--- a/tests/unit/wire/platform_daemon_problem_test.cpp
+++ b/tests/unit/wire/platform_daemon_problem_test.cpp
@@ -19,7 +19,7 @@
     return info;
 }
 
-/// The entrance of a daemon that hasn't been started.
+/// The ingress of a daemon that has not been started.
 struct Entrance {
     boost::asio::io_context io;
     DaemonContext context{io, {}, {}, member(), {}, {}, std::mt19937_64(1)};
@@ -32,7 +32,7 @@
     Ingress ingress{context, peers, membership, documents, claims, gates, registry};
 };
 
-/// The pause to come back after is drawn at random.
+/// Replaces the Retry-After delay, which has a random part.
 std::string with_masked_pause(const std::string& body) {
     return std::regex_replace(body, std::regex(R"("retry_after_ms":[0-9]+)"), R"("retry_after_ms":PAUSE)");
 }
--- a/tests/unit/wire/platform_documents_test.cpp
+++ b/tests/unit/wire/platform_documents_test.cpp
@@ -57,7 +57,7 @@
 
 std::string text_of(const tenancy::KeyRing& ring) {
     std::string text;
-    // Kept without an order in the ring.
+    // The ring stores these entries unordered.
     std::map<std::string, tenancy::TenantTerms> tenants;
     for (const auto& [name, terms] : ring.tenants) {
         tenants[name.value] = terms;
@@ -157,14 +157,14 @@
 
 }  // namespace
 
-TEST_CASE("every field of a configuration document is read as before", "[golden]") {
+TEST_CASE("every field of a configuration document is parsed", "[golden]") {
     golden::check("platform_configuration.txt",
                   "key: " + Dialect().configuration_key() + "\n-- every field\n" +
                       text_of(Dialect().read_configuration(kFullConfiguration)) + "-- the least\n" +
                       text_of(Dialect().read_configuration(kLeastConfiguration)));
 }
 
-TEST_CASE("what is wrong with a configuration is said in the same words", "[golden]") {
+TEST_CASE("error messages for configurations stay the same", "[golden]") {
     struct Mistake {
         std::string old_part;
         std::string new_part;
@@ -212,7 +212,7 @@
     golden::check("platform_configuration_problems.txt", text);
 }
 
-TEST_CASE("registrations and leaves are read as before", "[golden]") {
+TEST_CASE("registrations and leave requests are parsed", "[golden]") {
     std::string text = registration_text("PUT", "/-/instances/i-1", kHeartbeat);
     text += registration_text("PUT", "/-/instances/i-1?query=1", kHeartbeat);
     text += "-- draining\n" + changed_heartbeat(R"("ready")", R"("draining")");
@@ -228,7 +228,7 @@
     golden::check("platform_registration.txt", text);
 }
 
-TEST_CASE("what is wrong with a heartbeat is said in the same words", "[golden]") {
+TEST_CASE("error messages for heartbeats stay the same", "[golden]") {
     std::string text = changed_heartbeat(R"("information")", R"("info")");
     text += changed_heartbeat(R"("service": "orders", )", "");
     text += changed_heartbeat(R"("z1")", "1");
--- a/tests/unit/wire/platform_problem_test.cpp
+++ b/tests/unit/wire/platform_problem_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A store that refuses every call.
+/// A store that rejects every call.
 class DeafStore final : public store::CoordinationStore {
   public:
     store::ReadReply read(const std::string& /*key*/, store::ReadMode /*freshness*/,
@@ -44,7 +44,7 @@
     return settings;
 }
 
-/// The entrance of a sidecar that hasn't been started.
+/// The ingress of a sidecar that has not been started.
 struct Entrance {
     boost::asio::io_context io;
     platform::Dialect dialect;
--- a/tests/unit/wire/settings_golden_test.cpp
+++ b/tests/unit/wire/settings_golden_test.cpp
@@ -26,7 +26,7 @@
 mesh_key = "0123456789abcdef"
 )";
 
-/// A value that was read, as text.
+/// Formats a parsed value.
 struct ValueText {
     const Settings& settings;
 
@@ -103,7 +103,7 @@
     return text.str();
 }
 
-/// Each "{{name}}" of the deployed file and what stands in its place here.
+/// Placeholders "{{name}}" of the deployed file and their values in this test.
 const std::map<std::string, std::string>& machine_fields() {
     static const std::map<std::string, std::string> fields{
         {"nodeName", "node-7"},
@@ -129,7 +129,7 @@
     return fields;
 }
 
-/// Replaces every "{{name}}"; one that isn't known stays as it is.
+/// Replaces every known "{{name}}"; unknown placeholders are kept.
 std::string filled(std::string text, const std::map<std::string, std::string>& fields) {
     for (const auto& [name, value] : fields) {
         const std::string place = "{{" + name + "}}";
@@ -155,7 +155,7 @@
 address = "127.0.0.1:1007"
 )";
 
-/// Each setting that may be left out, with a value other than its default.
+/// Every optional setting, with a value other than its default.
 constexpr const char* kOptionalSidecarSettings = R"([advertise]
 hops = "127.0.0.1:2002"
 gossip = "127.0.0.1:2005"
@@ -173,7 +173,7 @@
 without = "hedging  quotas"
 )";
 
-/// Every setting with a value that can't be taken.
+/// Every setting with an invalid value.
 constexpr const char* kBadSidecarFile = R"([sidecar]
 name = ""
 zone = 5
@@ -226,7 +226,7 @@
     golden::check("settings_daemon_catalogue.txt", text);
 }
 
-TEST_CASE("what a daemon reads from a file and from flags", "[golden]") {
+TEST_CASE("a daemon's settings from a file and from flags", "[golden]") {
     std::string text = "-- the least\n" + text_of(load_settings("file.toml", kLeastDaemonFile, {}));
     std::vector<SettingOverride> flags;
     for (const auto& spec : setting_specs()) {
@@ -251,7 +251,7 @@
     golden::check("settings_daemon_values.txt", text);
 }
 
-TEST_CASE("what is wrong with a daemon's settings is said in the same words", "[golden]") {
+TEST_CASE("error messages for a daemon's settings stay the same", "[golden]") {
     std::string text = "nothing given\n" + text_of(load_settings("file.toml", "", {}).errors);
     text += daemon_errors("not TOML", "broken");
     text +=
@@ -295,7 +295,7 @@
                       text_of(load_sidecar_settings("file.toml", filled(deployed_file(), lenient))));
 }
 
-TEST_CASE("defaults of the sidecar's settings, and what takes their place", "[golden]") {
+TEST_CASE("defaults and overrides of the sidecar's settings", "[golden]") {
     const std::string least = kLeastSidecarFile;
     auto whole = least + kOptionalSidecarSettings;
     whole.insert(whole.find("[listen]"), "stop_grace = \"1s\"\n");
@@ -304,14 +304,14 @@
                       text_of(load_sidecar_settings("file.toml", whole)));
 }
 
-TEST_CASE("what is wrong with a sidecar's settings is said in the same words", "[golden]") {
+TEST_CASE("error messages for a sidecar's settings stay the same", "[golden]") {
     golden::check("settings_sidecar_problems.txt",
                   "empty\n" + text_of(load_sidecar_settings("file.toml", "").errors) + "every value bad\n" +
                       text_of(load_sidecar_settings("file.toml", kBadSidecarFile).errors) + "not TOML\n" +
                       text_of(load_sidecar_settings("file.toml", "[sidecar]\nname=").errors));
 }
 
-TEST_CASE("lengths of time", "[golden]") {
+TEST_CASE("durations", "[golden]") {
     std::string text;
     for (const std::string given : {"0s", "0ms", "1500ms", "2.5s", "1e3ms", "0.4ms", "5", "5 s", "5m", "s",
                                     "", "-1s", "100000000s", "100000001s"}) {
--- a/tests/unit/wire/store_golden_test.cpp
+++ b/tests/unit/wire/store_golden_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Holds what is written, in the order of writing.
+/// In-memory store that records writes in order.
 class KeptWrites final : public store::KeyValueStore {
   public:
     std::optional<store::RangeResult> range(const std::string& first, const std::string& end,
@@ -79,7 +79,7 @@
     CHECK(read.errors.empty());
     CHECK(read.table == full_table());
     golden::check("table-empty.csv", config::to_csv({}));
-    // It is written like any other, but isn't taken.
+    // An empty table is encoded but rejected when parsed.
     const auto empty = config::parse_table_csv(golden::content_of("table-empty.csv"));
     CHECK(empty.table == config::Table{});
     REQUIRE(empty.errors.size() == 1);
@@ -121,7 +121,7 @@
     const auto written = config::parse_table_record(kept.values[0].value).record;
     std::vector<golden::Sample> samples;
     for (const auto& value : kept.values) {
-        // The id is random and the time is that of the run.
+        // The id is random, and the time is the current time.
         auto text = value.value;
         REQUIRE(result.change_id.size() == 16);
         replace(text, result.change_id, "0123456789abcdef");
@@ -132,7 +132,7 @@
     golden::check("accepted-change.txt", golden::text_of(samples));
 }
 
-TEST_CASE("a change that was written earlier reads back from the store", "[golden]") {
+TEST_CASE("a previously written change is decoded from the store", "[golden]") {
     const auto samples = golden::texts_in("accepted-change.txt");
     REQUIRE(samples.size() == 3);
     KeptWrites kept;
@@ -187,8 +187,8 @@
     CHECK(read.previous == view.previous);
 }
 
-TEST_CASE("the platform's list of machines is read as before", "[golden]") {
-    // Only read, never written: the text is the platform's.
+TEST_CASE("the platform's list of machines is parsed", "[golden]") {
+    // The list is only read, never written; its format belongs to the platform.
     const auto servers = store::parse_machine_list(
         R"([{"targets":["10.1.0.1:81","[::1]:82"],"labels":{"service":"orders","zone":"z-1","state":"live"}},)"
         R"({"targets":["10.1.0.3:83"],"labels":{"service":"stock","zone":"z-2","state":"leaving"}},)"
--- a/tests/unit/wire/verdict_key_golden_test.cpp
+++ b/tests/unit/wire/verdict_key_golden_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr const char* kTimeInFile = "1796253560006";
 
-/// Keeps what is written and asked for.
+/// Store that records written items and requested keys.
 class KeptCalls final : public store::CoordinationStore {
   public:
     store::ReadReply read(const std::string& key, store::ReadMode /*freshness*/,
@@ -43,7 +43,7 @@
     std::vector<golden::Sample> calls;
 };
 
-/// One daemon's knowledge of crashes, with no peers.
+/// The crash records of one daemon without peers.
 struct Exchange {
     boost::asio::io_context io;
     platform::Dialect dialect;
@@ -60,7 +60,7 @@
     return std::to_string(std::chrono::duration_cast<milliseconds>(now).count());
 }
 
-/// Lets the fibers run that were started.
+/// Runs the started fibers.
 void run_fibers() {
     for (int round = 0; round < 10; ++round) {
         boost::this_fiber::yield();
@@ -74,7 +74,7 @@
     here.crashes.on_crash({{kRequest, 2}});
     run_fibers();
     REQUIRE(here.store.calls.size() == 1);
-    // The second number is the time of the run.
+    // The second number is the current time.
     auto& value = here.store.calls.front().bytes;
     const auto start = value.find(' ') + 1;
     value.replace(start, value.find(' ', start) - start, kTimeInFile);
@@ -83,7 +83,7 @@
     golden::check("verdict-calls.txt", golden::text_of(here.store.calls));
 }
 
-TEST_CASE("a verdict that was written earlier is taken from the store", "[golden]") {
+TEST_CASE("a previously written verdict is loaded from the store", "[golden]") {
     const auto calls = golden::texts_in("verdict-calls.txt");
     REQUIRE(calls.size() == 3);
     const std::string key = calls[0].name.substr(std::string("write ").size());
--- a/tests/unit/wire/wire_samples.cpp
+++ b/tests/unit/wire/wire_samples.cpp
@@ -12,7 +12,6 @@
 constexpr std::size_t kDigitsPerByte = 3;
 constexpr int kHexadecimal = 16;
 
-/// The bytes of one line of a hex dump.
 std::string bytes_of_line(const std::string& line) {
     std::string bytes;
     for (std::size_t index = 0; index < kDumpedPerLine; ++index) {
