--- a/src/daemon/admin_server.hpp
+++ b/src/daemon/admin_server.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// The admin port: metrics, status, health, events, decisions, and the table. Owns its listener; relies on
-/// all parts of the daemon for what it shows. Anybody who reaches the port may read; a changed table needs
-/// the operator token.
+/// all other parts of the daemon for the content. Every client that can reach the port may read; changing the
+/// table requires the operator token.
 #pragma once
 
 #include "daemon/claim_service.hpp"
@@ -17,14 +17,14 @@
 
 namespace anisehold::daemon {
 
-/// Serves operators and scrapers.
+/// Serves operators and metrics scrapers.
 class AdminServer {
   public:
     AdminServer(DaemonContext& context, PeerClient& peers, MembershipService& membership,
                 DocumentService& documents, const ClaimService& claims, const GateService& gates,
                 const routing::BackendRegistry& registry);
     std::error_code start();
-    /// Shown by /healthz and /status from now on.
+    /// Makes /healthz and /status report that the daemon is stopping.
     void set_stopping() { stopping_ = true; }
 
   private:
--- a/src/daemon/answer_store.cpp
+++ b/src/daemon/answer_store.cpp
@@ -15,13 +15,13 @@
 
 void AnswerStore::keep(TimePoint now, const std::string& key, StoredAnswer answer) {
     const auto bytes = size_of(answer) + key.size();
-    if (bytes > kLargestAnswerBytes || answers_.contains(key)) {
+    if (bytes > kMaxAnswerBytes || answers_.contains(key)) {
         return;
     }
     bytes_ += bytes;
     order_.push_back({key, now, bytes});
     answers_[key] = std::move(answer);
-    while (!order_.empty() && (bytes_ > kMostBytes || now - order_.front().kept_at >= window_)) {
+    while (!order_.empty() && (bytes_ > kMaxTotalBytes || now - order_.front().kept_at >= window_)) {
         bytes_ -= order_.front().bytes;
         answers_.erase(order_.front().key);
         order_.pop_front();
--- a/src/daemon/answer_store.hpp
+++ b/src/daemon/answer_store.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Small answers of completed non-repeatable requests, kept for callers that lost them.
+/// Stores small responses of completed non-repeatable requests for callers that lost them.
 #pragma once
 
 #include <deque>
@@ -12,16 +12,16 @@
 
 namespace anisehold::daemon {
 
-/// Bounded by bytes and by age; the oldest answers go first. Pure.
+/// Bounded by total size and by age; the oldest responses are evicted first. Pure.
 class AnswerStore {
   public:
-    /// Largest answer that is kept, with its key, and most bytes of all. Chosen, not measured.
-    static constexpr std::size_t kLargestAnswerBytes = 16 * 1024;
-    static constexpr std::size_t kMostBytes = 32 * 1024 * 1024;
+    /// Maximum size of one stored response including its key, and of all stored responses together.
+    static constexpr std::size_t kMaxAnswerBytes = 16 * 1024;
+    static constexpr std::size_t kMaxTotalBytes = 32 * 1024 * 1024;
 
     explicit AnswerStore(Duration window) : window_(window) {}
 
-    /// Keeps an answer; too large a one is not kept, nor a second one of a key.
+    /// Stores a response. A response that is too large, or a second one for a key, is ignored.
     void keep(TimePoint now, const std::string& key, StoredAnswer answer);
     std::optional<StoredAnswer> find(const std::string& key) const;
     std::size_t bytes() const { return bytes_; }
--- a/src/daemon/backend_watch.cpp
+++ b/src/daemon/backend_watch.cpp
@@ -12,11 +12,11 @@
 using observability::Event;
 using observability::log_event;
 
-/// How long the machine list is waited for. Chosen, not measured.
+/// Timeout of a request for the machine list.
 constexpr milliseconds kListTimeout{2'000};
-/// How long a server's health endpoint is waited for. Chosen, not measured.
+/// Timeout of a health probe.
 constexpr milliseconds kHealthTimeout{500};
-/// What a leaving server answers there: this status, and a body with this word.
+/// Health response of a leaving server: this status, and a body that contains this word.
 constexpr unsigned kServiceUnavailable = 503;
 constexpr std::string_view kDraining = "draining";
 
@@ -98,7 +98,7 @@
     if (!kept) {
         kept = std::make_shared<net::HttpClient>(context_.io, server.endpoint);
     }
-    // A share of its own, since the list may drop the server while the probe runs.
+    // Keeps the client alive: the list update may remove the server while the probe is in flight.
     const auto client = kept;
     auto request = net::make_request("GET", "/health");
     net::ExchangeProgress progress;
--- a/src/daemon/backend_watch.hpp
+++ b/src/daemon/backend_watch.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Keeps the registry of servers up to date from the machine list and the servers' health endpoints. Owns the
-/// connections to both; a probe that fails changes nothing, only an answer that the server is draining does.
+/// Updates the registry of servers from the machine list and the servers' health endpoints. Owns the
+/// connections to both. A failed health probe changes nothing; only a response that says the server is
+/// draining does.
 #pragma once
 
 #include <map>
@@ -13,7 +14,7 @@
 
 namespace anisehold::daemon {
 
-/// Polls the machine list, and the health of the servers that this daemon is the gate of.
+/// Polls the machine list, and the health of the servers whose gates this daemon keeps.
 class BackendWatch {
   public:
     BackendWatch(DaemonContext& context, MembershipService& membership, routing::BackendRegistry& registry);
--- a/src/daemon/call.hpp
+++ b/src/daemon/call.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// One call on its way through the table daemon, and what became of it. A call is a root request or a nested
-/// call; the handles in daemon/handles each do their part for it and pass it on.
+/// A call passing through the table daemon, and its result. A call is a root request or a nested call; each
+/// handle in daemon/handles does its part and passes the call to the next handle.
 #pragma once
 
 #include <cstdint>
@@ -15,15 +15,15 @@
 
 namespace anisehold::daemon {
 
-/// A call being routed. The request and the signal belong to the connection that the call came over.
+/// A call being routed. The connection that received the call owns the request and the cancel signal.
 struct Call {
     net::HttpRequest* request = nullptr;
     net::CancelSignal* cancel = nullptr;
     std::string service;
     routing::RouteDecision route;
-    CallContext context;                ///< Of this call; its allowance is what is left now.
-    std::optional<CallContext> parent;  ///< Of the call that made this one; nothing for a root request.
-    std::uint64_t identity = 0;         ///< Digest of service, method, target, key and body.
+    CallContext context;                ///< Context of this call; the allowance is the remaining one.
+    std::optional<CallContext> parent;  ///< Context of the calling call; empty for a root request.
+    std::uint64_t identity = 0;         ///< Digest of service, method, target, idempotency key and body.
     TimePoint received;
     TimePoint root_started;
     TimePoint deadline;
@@ -31,20 +31,21 @@
     bool is_root() const { return !parent.has_value(); }
 };
 
-/// What became of a call: a server's answer, or one of our error kinds.
+/// The result of a call: a server's response, or an error kind of the daemon.
 struct CallResult {
     std::optional<net::HttpResponse> response;
-    ErrorKind error = ErrorKind::kBackendFailed;   ///< When there is no response.
-    Execution execution = Execution::kMayHaveRun;  ///< When there is no response.
+    ErrorKind error = ErrorKind::kBackendFailed;   ///< Valid only without a response.
+    Execution execution = Execution::kMayHaveRun;  ///< Valid only without a response.
     Duration retry_after{};
-    unsigned retries_used = 0;       ///< By the call and all below it.
-    std::string overloaded_service;  ///< That refused the call or one below it; empty if none did.
-    bool nested_ran = false;         ///< A call nested in this one may have run.
+    unsigned retries_used = 0;       ///< Retries used by the call and all calls nested in it.
+    std::string overloaded_service;  ///< Service that refused the call or a nested call for overload; empty
+                                     ///< if none did.
+    bool nested_ran = false;         ///< Whether a call nested in this one may have run.
     bool server_leaving = false;
 
     bool refused_by_overload() const { return !overloaded_service.empty(); }
 
-    /// A result without a server's answer; what is known of its execution follows from the kind.
+    /// A result without a server's response; the execution state follows from the error kind.
     static CallResult failure(ErrorKind kind, Duration retry_after = {}) {
         CallResult result;
         result.error = kind;
@@ -52,7 +53,7 @@
         result.retry_after = retry_after;
         return result;
     }
-    /// Like `failure`, for a call that `service` refused for overload.
+    /// Like `failure`, for a call that `service` refused because of overload.
     static CallResult refusal(ErrorKind kind, const std::string& service, Duration retry_after) {
         auto result = failure(kind, retry_after);
         result.overloaded_service = service;
@@ -60,11 +61,11 @@
     }
 };
 
-/// The request to send on for a call. A small body is copied, so that it can be sent again; a streamed one is
-/// taken out of the call, and can be sent once.
+/// Creates the request to forward for a call. A small body is copied and can be sent again; a streamed body
+/// is moved out of the call and can be sent only once.
 net::HttpRequest forwarded_request(Call& call);
 
-/// One step of routing. Handles compose: each does its part and passes the call to the next.
+/// One step of routing. Handles form a chain: each does its part and passes the call to the next handle.
 class RouteHandle {
   public:
     virtual ~RouteHandle() = default;
--- a/src/daemon/claim_service.cpp
+++ b/src/daemon/claim_service.cpp
@@ -17,24 +17,26 @@
 using observability::Event;
 using observability::log_event;
 
-/// How long one round waits for a key's holders, and a peer is waited for that has the answer of a duplicate.
-constexpr milliseconds kAskTimeout{300};
-/// Rounds in which the holders are asked while no majority answers.
-constexpr int kMostRounds = 6;
-/// Pause after the first round, times the number of the round after later ones; jittered.
+/// Timeout of one round of claim requests to a key's holders, and of fetching a stored response from the
+/// coordinator of a duplicate.
+constexpr milliseconds kClaimReplyTimeout{300};
+/// Maximum number of claim rounds while no majority of the holders answers.
+constexpr int kMaxClaimRounds = 6;
+/// Pause after the first round. The pause grows linearly with the round number and is jittered.
 constexpr milliseconds kRoundPause{20};
-/// How long a holder is waited for that is sent a claim's end, how often it is sent, and the pause between.
+/// Timeout of one claim end sent to a holder, number of attempts, and pause between two attempts.
 constexpr milliseconds kUpdateTimeout{500};
-constexpr int kMostUpdates = 20;
+constexpr int kMaxUpdateAttempts = 20;
 constexpr milliseconds kUpdatePause{500};
-/// Time between two looks at this daemon's own claims: expired ones, and holders to take over from.
+/// Interval at which this daemon, as a holder, expires claims and synchronizes grants from previous holders.
 constexpr milliseconds kHolderPeriod{100};
-/// How long a holder is waited for that sends all its grants: a message of up to 8 MB.
+/// Timeout for receiving all grants of a holder: a message of up to 8 MB.
 constexpr seconds kSyncTimeout{5};
 
 }  // namespace
 
-/// One round of asking a key's holders; outlives the claimant's wait for late answers.
+/// One round of claim requests to a key's holders. The state outlives the claimant's wait, because replies
+/// may arrive late.
 struct ClaimService::Round {
     Round(claims::ClaimRequest request, std::size_t holders) : request(std::move(request)), tally(holders) {}
 
@@ -66,7 +68,7 @@
 
 ClaimOutcome ClaimService::claim(const std::string& key, std::uint64_t fingerprint, TimePoint deadline) {
     ClaimOutcome outcome;
-    for (int round = 0; round < kMostRounds; ++round) {
+    for (int round = 0; round < kMaxClaimRounds; ++round) {
         outcome = claim_once(key, fingerprint, deadline);
         const bool again = outcome.result == ClaimResult::kUnavailable &&
                            TimePoint::clock::now() + kRoundPause * (round + 1) < deadline;
@@ -93,21 +95,21 @@
     for (const auto& holder : holders) {
         ask_holder(round, holder);
     }
-    round->decided.wait_until(std::min(deadline, TimePoint::clock::now() + kAskTimeout));
+    round->decided.wait_until(std::min(deadline, TimePoint::clock::now() + kClaimReplyTimeout));
     outcome.result = round->tally.result();
     outcome.standing = round->tally.standing();
     if (outcome.result == ClaimResult::kPending) {
         outcome.result = ClaimResult::kUnavailable;
     }
     if (outcome.result != ClaimResult::kWon) {
-        // This claimant will never run; whoever granted it may grant another.
+        // The claimant won't run the request, so holders that granted the claim may grant another claim.
         finish(outcome, claims::ClaimEnd::kReleased);
     }
     return outcome;
 }
 
 void ClaimService::ask_holder(const std::shared_ptr<Round>& round, const Holder& holder) {
-    const auto take = [round](const std::optional<ClaimReply>& reply) {
+    const auto handle_reply = [round](const std::optional<ClaimReply>& reply) {
         if (reply) {
             round->tally.on_reply(*reply);
         } else {
@@ -118,16 +120,16 @@
         }
     };
     if (holder.id == context_.self.id && holder.boot_id == context_.self.boot_id) {
-        take(handle(round->request));
+        handle_reply(handle(round->request));
         return;
     }
     const auto address = address_of(membership_, holder);
     if (!address) {
-        take(std::nullopt);
+        handle_reply(std::nullopt);
         return;
     }
-    net::EventLoop::spawn([this, round, take, address = *address] {
-        take(peers_.ask<ClaimReply>(address, round->request, kAskTimeout));
+    net::EventLoop::spawn([this, round, handle_reply, address = *address] {
+        handle_reply(peers_.ask<ClaimReply>(address, round->request, kClaimReplyTimeout));
     });
 }
 
@@ -143,19 +145,19 @@
 }
 
 void ClaimService::send_update(const Holder& holder, const claims::ClaimUpdate& update) {
-    for (int attempt = 0; attempt < kMostUpdates; ++attempt) {
+    for (int attempt = 0; attempt < kMaxUpdateAttempts; ++attempt) {
         const auto address = address_of(membership_, holder);
         if (address && peers_.ask<Acknowledged>(*address, update, kUpdateTimeout)) {
             return;
         }
         boost::this_fiber::sleep_for(kUpdatePause);
     }
-    // A holder that is gone misses each claim's end: the lines are bounded.
+    // An unreachable holder misses the end of every claim, so these log lines are rate limited.
     observability::log_routine(Event::kClaimEndUndelivered,
                                {{"holder", holder.id}, {"end", std::string(claims::end_name(update.end))}});
 }
 
-bool ClaimService::coordinator_is_there(const ClaimReply& standing) const {
+bool ClaimService::is_coordinator_running(const ClaimReply& standing) const {
     const auto* record = membership_.find(standing.coordinator);
     return record != nullptr && record->info.boot_id == standing.coordinator_boot &&
            record->state != membership::MemberState::kDead && record->state != membership::MemberState::kLeft;
@@ -173,7 +175,7 @@
     if (record == nullptr) {
         return std::nullopt;
     }
-    auto reply = peers_.ask<AnswerReply>(record->info.peer, AnswerRequest{key}, kAskTimeout);
+    auto reply = peers_.ask<AnswerReply>(record->info.peer, AnswerRequest{key}, kClaimReplyTimeout);
     if (!reply || reply->answers.empty()) {
         return std::nullopt;
     }
@@ -251,7 +253,7 @@
     const bool still_holder = std::any_of(holders.begin(), holders.end(), [&](const Holder& holder) {
         return holder.id == context_.self.id && holder.boot_id == context_.self.boot_id;
     });
-    return !still_holder && view_keeper_.present_view_is_covered();
+    return !still_holder && view_keeper_.current_view_is_covered();
 }
 
 claims::ClaimStatusReply ClaimService::handle(const claims::ClaimStatusRequest& request) const {
--- a/src/daemon/claim_service.hpp
+++ b/src/daemon/claim_service.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Claims on idempotency keys over the peer protocol: this daemon as claimant and as holder. Owns the grants
-/// that this daemon made, and the answers that it keeps; relies on the holder view for who the holders are.
+/// Claims on idempotency keys over the peer protocol, with this daemon as claimant and as holder. Owns the
+/// grants that this daemon made and the responses that it stores; relies on the holder view for the current
+/// holders.
 #pragma once
 
 #include <memory>
@@ -19,12 +20,12 @@
 
 namespace anisehold::daemon {
 
-/// A claim that was made, and its result.
+/// A claim made by this daemon, and its result.
 struct ClaimOutcome {
     claims::ClaimResult result = claims::ClaimResult::kUnavailable;
     std::string key;
-    std::uint64_t claimant = 0;   ///< Random; names this claim at its holders.
-    claims::ClaimReply standing;  ///< When a duplicate: the claim that holds the key.
+    std::uint64_t claimant = 0;   ///< Random id of this claim at its holders.
+    claims::ClaimReply standing;  ///< For a duplicate: the existing claim on the key.
 };
 
 /// Runs claims over the peer protocol.
@@ -34,21 +35,21 @@
                  DocumentService& documents);
 
     void start();
-    /// Claims a key; asks again for a short while, until `deadline` at most, when no majority answers. Blocks
-    /// the fiber. The result is never `kPending`.
+    /// Claims a key. While no majority of the holders answers, asks them again for a limited number of
+    /// rounds, until `deadline` at the latest. Blocks the fiber. The result is never `kPending`.
     ClaimOutcome claim(const std::string& key, std::uint64_t fingerprint, TimePoint deadline);
-    /// Sends the holders how a won claim ended; in the background, again and again until each has
-    /// acknowledged it, for some ten seconds at most.
+    /// Sends the end of a claim to its holders in the background. The message is repeated until each holder
+    /// has acknowledged it, for about ten seconds at most.
     void finish(const ClaimOutcome& won, claims::ClaimEnd end);
-    /// For the planned stop: whether the holder view is without this daemon and served by the others, so that
-    /// nobody needs this daemon's grants any more.
+    /// Whether the holder view no longer contains this daemon and the other holders serve the view. From then
+    /// on nobody needs this daemon's grants, and a planned stop may end the process.
     bool handed_over();
-    /// Whether the process that coordinates a standing claim is still there.
-    bool coordinator_is_there(const claims::ClaimReply& standing) const;
+    /// Whether the process that coordinates an existing claim is still running.
+    bool is_coordinator_running(const claims::ClaimReply& standing) const;
 
-    /// Keeps the answer to a completed request.
+    /// Stores the response to a completed request.
     void keep_answer(const std::string& key, StoredAnswer answer);
-    /// The answer kept by this daemon or by the claim's coordinator.
+    /// Returns the response stored by this daemon or by the claim's coordinator.
     std::optional<StoredAnswer> find_answer(const std::string& key, const claims::ClaimReply& standing);
 
     claims::ClaimReply handle(const claims::ClaimRequest& request);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -25,16 +25,15 @@
 using observability::log_event;
 using observability::log_unless_bound;
 
-// All chosen, not measured.
-
-/// After the announcement callers and peers get this time to go elsewhere before the listener may close.
-constexpr milliseconds kLameDuck{1'500};
-/// Time between two looks at the calls in flight.
-constexpr milliseconds kDrainPoll{20};
-/// With the store down the holder view can't change; the stop doesn't wait for it longer than this.
-constexpr seconds kLongestHandover{10};
-/// Time between two looks at the holder view, which asks its holders.
-constexpr milliseconds kHandoverPoll{100};
+/// Time for callers and peers to switch to other daemons after the announcement, before the listener may
+/// close.
+constexpr milliseconds kLameDuckPeriod{1'500};
+/// Interval between two checks for calls in flight.
+constexpr milliseconds kDrainPollPeriod{20};
+/// Maximum wait for the handover of claims: while the store is unavailable, the holder view can't change.
+constexpr seconds kMaxHandoverTime{10};
+/// Interval between two checks of the holder view. Each check sends requests to the view's holders.
+constexpr milliseconds kHandoverPollPeriod{100};
 
 std::uint64_t random_seed() {
     std::random_device device;
@@ -75,7 +74,8 @@
 
     bool busy() const { return server.requests_in_flight() > 0 || gates.calls_in_flight() > 0; }
     void wait_while_busy(TimePoint until) const;
-    /// Returns when nothing is in flight and the claims are handed over, or the settings' grace is over.
+    /// Returns when no call is in flight and the claims are handed over, or when the configured grace period
+    /// is over.
     void drain();
 
     DaemonContext context;
@@ -94,7 +94,7 @@
 
 void Daemon::Parts::wait_while_busy(TimePoint until) const {
     while (busy() && TimePoint::clock::now() < until) {
-        boost::this_fiber::sleep_for(kDrainPoll);
+        boost::this_fiber::sleep_for(kDrainPollPeriod);
     }
 }
 
@@ -102,12 +102,12 @@
     server.begin_closing();
     const auto started = TimePoint::clock::now();
     const auto grace_ends = started + milliseconds(context.settings.daemon_stop_grace_ms);
-    // The listener stays open while calls are in flight: their nested calls come in through it.
-    boost::this_fiber::sleep_for(kLameDuck);
+    // The listener stays open while calls are in flight, because their nested calls arrive through it.
+    boost::this_fiber::sleep_for(kLameDuckPeriod);
     wait_while_busy(grace_ends);
-    const auto handover_ends = started + kLongestHandover;
+    const auto handover_ends = started + kMaxHandoverTime;
     while (!claims.handed_over() && TimePoint::clock::now() < std::min(handover_ends, grace_ends)) {
-        boost::this_fiber::sleep_for(kHandoverPoll);
+        boost::this_fiber::sleep_for(kHandoverPollPeriod);
     }
     wait_while_busy(grace_ends);
     server.stop_accepting();
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -1,13 +1,13 @@
 /// @file
-/// The table daemon, `anisehold serve`: builds its parts, starts them, and stops as planned.
+/// The table daemon, `anisehold serve`: creates its parts, starts them, and performs planned stops.
 ///
-/// src/daemon is this program alone, and src/sidecar is the other one, `anisehold sidecar`. A call takes this
-/// way here: ingress, the handles, gate_service, the server. Both programs use admission, config, logging,
-/// membership, net, observability, protocol, retry, routing and store, though few of their files: claims,
-/// config/table, membership/swim, retry_ledger, retry_budget, backend_registry, balancer, route_table,
-/// etcd_store and table_store are this program's; peer_directory, window_budget, attempt_plan, configuration,
-/// weighted_split and coordination_store are the sidecar's. cli and explain are the command line; all other
-/// folders are the sidecar's.
+/// src/daemon belongs to this program only; src/sidecar is the other program, `anisehold sidecar`. In this
+/// program a call passes through ingress, the handles, gate_service and the server. Both programs use
+/// admission, config, logging, membership, net, observability, protocol, retry, routing and store, but share
+/// few files of these folders: claims, config/table, membership/swim, retry_ledger, retry_budget,
+/// backend_registry, balancer, route_table, etcd_store and table_store belong to the table daemon;
+/// peer_directory, window_budget, attempt_plan, configuration, weighted_split and coordination_store belong
+/// to the sidecar. cli and explain are the command line; all other folders belong to the sidecar.
 #pragma once
 
 #include <memory>
@@ -20,7 +20,7 @@
 
 namespace anisehold::daemon {
 
-/// Everything that `anisehold serve` runs.
+/// Owns all parts of `anisehold serve`.
 class Daemon {
   public:
     Daemon(net::EventLoop& loop, config::Settings settings);
@@ -28,10 +28,11 @@
     Daemon(const Daemon&) = delete;
     Daemon& operator=(const Daemon&) = delete;
 
-    /// Binds all addresses and starts. False if one can't be bound; an event names it.
+    /// Binds all addresses and starts all parts. False if an address can't be bound; the failure is logged as
+    /// an event.
     bool start();
-    /// The planned stop: announces it to peers, waits for what is in flight for `daemon.stop_grace_ms` at
-    /// most, then returns. Blocks the fiber.
+    /// Performs a planned stop: announces the stop to peers, waits up to `daemon.stop_grace_ms` for calls in
+    /// flight, then returns. Blocks the fiber.
     void stop();
 
   private:
--- a/src/daemon/daemon_context.hpp
+++ b/src/daemon/daemon_context.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What all parts of one daemon share: settings, metrics, recent decisions and randomness. Owns them.
+/// State shared by all parts of one daemon: settings, metrics, recent decisions and the random number
+/// generator. Owns all of them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,7 +15,7 @@
 
 namespace anisehold::daemon {
 
-/// Lives as long as the daemon; used from its one thread.
+/// Exists for the lifetime of the daemon; used from its single thread only.
 struct DaemonContext {
     boost::asio::io_context& io;
     config::Settings settings;
@@ -28,7 +29,7 @@
     bool has(config::Mechanism mechanism) const { return mechanisms.has(mechanism); }
     /// Uniform in [0, 1).
     double random_unit() { return std::uniform_real_distribution<double>(0.0, 1.0)(random); }
-    /// `base` times a random factor from 0.5 to 1.5, so that daemons don't act in step.
+    /// `base` times a random factor from 0.5 to 1.5, which prevents daemons from acting in step.
     Duration jittered(Duration base) {
         return std::chrono::duration_cast<Duration>(base * (0.5 + random_unit()));
     }
--- a/src/daemon/document_service.cpp
+++ b/src/daemon/document_service.cpp
@@ -13,17 +13,15 @@
 using observability::Event;
 using observability::log_event;
 
-// All chosen, not measured.
-
-/// How long one call to the store may take.
+/// Timeout of one call to the store.
 constexpr milliseconds kStoreTimeout{2'000};
-/// How long a peer is waited for that is asked for a document.
+/// Timeout of a document request to a peer.
 constexpr seconds kFetchTimeout{2};
-/// Daemons of a zone that read the store: one may be gone without its zone noticing.
+/// Store readers per zone: with two, one reader may be down without delaying changes in the zone.
 constexpr std::size_t kReadersPerZone = 2;
-/// How often a daemon looks whether it is a reader; also the longest pause before a broken watch is opened
-/// again.
-constexpr milliseconds kRolePoll{500};
+/// Interval at which a daemon checks whether it is a store reader; also the maximum pause before a broken
+/// watch is reopened.
+constexpr milliseconds kRolePollPeriod{500};
 
 std::size_t index_of(DocumentKind kind) {
     return static_cast<std::size_t>(kind);
@@ -86,17 +84,17 @@
 
 void DocumentService::run_store_reader() {
     while (true) {
-        // A daemon without a table asks the store itself, whatever its role.
+        // A daemon without a table reads the store itself, even if it isn't a store reader.
         const bool should_read = is_store_reader() || !table_;
         if (!should_read) {
-            boost::this_fiber::sleep_for(kRolePoll);
+            boost::this_fiber::sleep_for(kRolePollPeriod);
             continue;
         }
         if (read_store_once()) {
             watch_store();
         }
         const milliseconds pause(context_.settings.platform_poll_ms);
-        boost::this_fiber::sleep_for(store_reachable_ ? std::min(pause, kRolePoll) : pause);
+        boost::this_fiber::sleep_for(store_reachable_ ? std::min(pause, kRolePollPeriod) : pause);
     }
 }
 
@@ -114,7 +112,7 @@
             offer({*kind_of_key(value.key), value.mod_revision, value.value}, "store");
         }
     }
-    note_store_state(read_all);
+    record_store_state(read_all);
     return read_all;
 }
 
@@ -130,7 +128,7 @@
                  });
 }
 
-void DocumentService::note_store_state(bool reachable) {
+void DocumentService::record_store_state(bool reachable) {
     if (reachable == store_reachable_) {
         return;
     }
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -15,7 +15,7 @@
 using config::Mechanism;
 using observability::DecisionStep;
 
-/// How often gates and ledgers are cleaned up and their metrics are set.
+/// Interval at which expired ledgers and unused gates are removed and the gate metrics are updated.
 constexpr seconds kHousekeepingPeriod{1};
 
 Duration retry_after_of(const net::HttpResponse& response) {
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-/// Holds the slot at the gate and the ledger of one dispatched call; gives both back once.
+/// Holds a dispatched call's slot at the gate and its ledger, and releases both exactly once.
 class GateService::Admission {
   public:
     Admission(GateService& service, std::shared_ptr<GateEntry> gate, std::uint64_t id, std::string call_id,
@@ -53,7 +53,7 @@
         --service_.in_flight_;
         service_.registry_.on_finish(server_);
         if (!report.overloaded_service.empty() && outcome != SampleOutcome::kCompleted) {
-            // The overload is further down; it says nothing about this server.
+            // A nested call met the overload, so the outcome says nothing about this server's own capacity.
             outcome = SampleOutcome::kIgnored;
         }
         gate_->wake(gate_->gate.finish(now, id_, outcome, report.nested_time));
@@ -71,7 +71,7 @@
 
 namespace {
 
-/// Passes a streamed body on and ends the call's admission with it.
+/// Forwards a streamed response body and ends the call's admission at the end of the body.
 template <typename Admission>
 class AdmittedBodyReader final : public net::BodyReader {
   public:
@@ -173,8 +173,8 @@
     const auto now = TimePoint::clock::now();
     if (!response) {
         auto result = failure_result(progress, call, *admission);
-        const bool was_tried = progress.request_started || !progress.connected;
-        if (result.error != ErrorKind::kCancelled && was_tried) {
+        const bool was_attempted = progress.request_started || !progress.connected;
+        if (result.error != ErrorKind::kCancelled && was_attempted) {
             registry_.on_outcome(now, server, routing::ServerOutcome::kFailure);
             if (registry_.is_ejected(now, server)) {
                 observability::log_event(observability::Event::kServerEjected, {{"server", server.text()}});
@@ -183,8 +183,8 @@
         return result;
     }
     registry_.on_outcome(now, server, routing::ServerOutcome::kSuccess);
-    const bool says_leaving = response->connection_close && context_.has(Mechanism::kLeavingDetection);
-    if (says_leaving) {
+    const bool announces_leaving = response->connection_close && context_.has(Mechanism::kLeavingDetection);
+    if (announces_leaving) {
         if (!registry_.is_leaving(now, server)) {
             observability::log_event(observability::Event::kServerLeaving,
                                      {{"server", server.text()}, {"sign", "connection-close"}});
@@ -192,7 +192,7 @@
         registry_.mark_leaving(now, server);
     }
     auto result = answer_result(std::move(*response), call, admission, now - sent);
-    result.server_leaving = says_leaving;
+    result.server_leaving = announces_leaving;
     return result;
 }
 
@@ -226,7 +226,7 @@
             result.overloaded_service = report.overloaded_service;
         }
     } else {
-        // Nested calls may go on while the body streams, so all that was lent counts as used.
+        // Nested calls may continue while the body streams, so the whole allowance counts as used.
         result.retries_used = call.context.retry_allowance;
         response.body.rest =
             std::make_unique<AdmittedBodyReader<Admission>>(std::move(response.body.rest), admission);
@@ -240,19 +240,19 @@
     const auto now = TimePoint::clock::now();
     const bool cancelled = call.cancel != nullptr && call.cancel->cancelled();
     const bool timed_out = now >= call.deadline;
-    const bool knows_truth = context_.has(Mechanism::kExactOutcomes);
+    const bool reports_exact_outcome = context_.has(Mechanism::kExactOutcomes);
     ErrorKind kind = ErrorKind::kBackendFailed;
     if (cancelled) {
         kind = ErrorKind::kCancelled;
     } else if (timed_out && progress.connected && !progress.request_started) {
         kind = ErrorKind::kQueueTimeout;
-    } else if (!progress.request_started || !knows_truth) {
+    } else if (!progress.request_started || !reports_exact_outcome) {
         kind = ErrorKind::kConnectFailed;
     } else if (timed_out) {
         kind = ErrorKind::kDeadlineExceeded;
     }
-    const bool server_was_late = timed_out && !cancelled && kind != ErrorKind::kQueueTimeout;
-    const auto report = admission.end(server_was_late ? SampleOutcome::kTimeout : SampleOutcome::kIgnored);
+    const bool server_timed_out = timed_out && !cancelled && kind != ErrorKind::kQueueTimeout;
+    const auto report = admission.end(server_timed_out ? SampleOutcome::kTimeout : SampleOutcome::kIgnored);
     auto result = CallResult::failure(kind, retry_after::kNoServer);
     if (!progress.request_started) {
         result.execution = Execution::kNotRun;
--- a/src/daemon/handles/claim_route.cpp
+++ b/src/daemon/handles/claim_route.cpp
@@ -104,7 +104,7 @@
         return CallResult::failure(ErrorKind::kKeyConflict);
     }
     if (standing.state == ClaimState::kInProgress) {
-        return claims_.coordinator_is_there(standing)
+        return claims_.is_coordinator_running(standing)
                    ? CallResult::failure(ErrorKind::kDuplicateInProgress, retry_after::kDuplicateInProgress)
                    : CallResult::failure(ErrorKind::kDuplicateUnknown);
     }
--- a/src/daemon/handles/claim_route.hpp
+++ b/src/daemon/handles/claim_route.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Lets a non-repeatable request run at most once: the holders of its idempotency key must grant it first.
+/// Runs a non-repeatable request at most once: the holders of its idempotency key must grant a claim first.
 /// Owns nothing; relies on the claim service.
 #pragma once
 
@@ -9,9 +9,9 @@
 
 namespace anisehold::daemon {
 
-/// Claims the idempotency key before the call goes on, and sends the holders how it ended. Calls below one
-/// that was dispatched at most once need no claim of their own: their caller's ledger recognises a second
-/// attempt.
+/// Claims the idempotency key before passing the call on, and reports the end of the call to the holders.
+/// Calls nested in a call that was dispatched at most once need no claim of their own, because their caller's
+/// ledger detects a second attempt.
 class ClaimRoute final : public RouteHandle {
   public:
     ClaimRoute(DaemonContext& context, ClaimService& claims, RouteHandle& next)
--- a/src/daemon/handles/client_ledger_route.cpp
+++ b/src/daemon/handles/client_ledger_route.cpp
@@ -7,11 +7,12 @@
 
 using retry::DrawVerdict;
 
-/// How long a client's request is remembered for its retries to be known. Chosen, not measured.
-constexpr seconds kClientMemory{60};
+/// How long the ledger of a client's request is kept so that retries of the request are detected.
+constexpr seconds kClientLedgerLifetime{60};
 
-/// What names the client's request over its retries; empty if nothing does.
-std::string client_request_name(const Call& call) {
+/// Identifies the client's request across its retries; empty if the request carries neither an idempotency
+/// key nor a trace id.
+std::string client_request_id(const Call& call) {
     if (const auto key = call.request->fields.find(header::kIdempotencyKey)) {
         return "key:" + std::string(*key);
     }
@@ -24,13 +25,14 @@
 }  // namespace
 
 CallResult ClientLedgerRoute::route(Call& call) {
-    const auto name = client_request_name(call);
+    const auto name = client_request_id(call);
     const bool accounted =
         context_.has(config::Mechanism::kRetryEscrow) && call.route.row.repeatable && !name.empty();
     if (!accounted) {
         return next_.route(call);
     }
-    gates_.open_client_ledger(name, {call.route.row.retries, call.received + kClientMemory, call.received});
+    gates_.open_client_ledger(name,
+                              {call.route.row.retries, call.received + kClientLedgerLifetime, call.received});
     const auto loan = gates_.handle(retry::DrawRequest{name, call.identity, true});
     if (loan.verdict == DrawVerdict::kExhausted) {
         return CallResult::failure(ErrorKind::kRetriesExhausted, retry_after::kRetriesExhausted);
@@ -42,8 +44,8 @@
     settlement.identity = call.identity;
     settlement.loan_id = loan.loan_id;
     settlement.used = result.retries_used;
-    // A client that was refused and comes back after the time that it was given makes its first attempt
-    // still.
+    // The request of a refused client hasn't run, so the client's next request still counts as a first
+    // attempt.
     settlement.discard_attempt = !result.response && result.execution == Execution::kNotRun;
     gates_.handle(settlement);
     return result;
--- a/src/daemon/handles/client_ledger_route.hpp
+++ b/src/daemon/handles/client_ledger_route.hpp
@@ -8,9 +8,10 @@
 
 namespace anisehold::daemon {
 
-/// A repeatable request that comes again with the same trace id or idempotency key is a retry, and is
-/// charged to what the first attempt was given. The ledger is this daemon's: a client that changes to
-/// another daemon between its retries starts a new one there. Non-repeatable requests are left to claims.
+/// Treats a repeatable request with the trace id or idempotency key of an earlier request as a retry, and
+/// charges the retry to the allowance of the first attempt. The ledger is local to this daemon: a client that
+/// switches to another daemon between retries starts a new ledger there. Claims cover non-repeatable
+/// requests.
 class ClientLedgerRoute final : public RouteHandle {
   public:
     ClientLedgerRoute(DaemonContext& context, GateService& gates, RouteHandle& next)
--- a/src/daemon/handles/early_refusal_route.hpp
+++ b/src/daemon/handles/early_refusal_route.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Refuses new root requests of a row whose calls are being refused for overload further down. Owns the row's
-/// counts; relies on admission/adaptive_throttle for the decision.
+/// Refuses new root requests of a row whose nested calls are being refused because of overload. Owns the
+/// counts of each row; relies on admission/adaptive_throttle for the decision.
 #pragma once
 
 #include "admission/adaptive_throttle.hpp"
@@ -9,7 +9,7 @@
 
 namespace anisehold::daemon {
 
-/// Refuses before any work is done for the request, so that none is wasted.
+/// Refuses a request before any work is done for it, so that no work is wasted.
 class EarlyRefusalRoute final : public RouteHandle {
   public:
     EarlyRefusalRoute(DaemonContext& context, RouteHandle& next) : context_(context), next_(next) {}
--- a/src/daemon/handles/ledger_route.cpp
+++ b/src/daemon/handles/ledger_route.cpp
@@ -9,7 +9,7 @@
 
 using retry::DrawVerdict;
 
-/// How long the daemon with the home ledger is waited for. Chosen, not measured.
+/// Timeout of a request to the daemon that has the home ledger.
 constexpr milliseconds kPeerTimeout{500};
 
 std::optional<CallResult> refusal_for(DrawVerdict verdict) {
@@ -52,7 +52,7 @@
                            "allowance " + std::to_string(reply->lent));
     auto result = next_.route(call);
 
-    const auto taken = TimePoint::clock::now() - call.received;
+    const auto elapsed = TimePoint::clock::now() - call.received;
     retry::SettleRequest settlement;
     settlement.call_id = call.parent->call_id;
     settlement.identity = call.identity;
@@ -61,7 +61,7 @@
     settlement.overloaded_service = result.overloaded_service;
     settlement.not_run = !result.response && result.execution == Execution::kNotRun;
     settlement.duration_us =
-        static_cast<std::uint64_t>(std::chrono::duration_cast<microseconds>(taken).count());
+        static_cast<std::uint64_t>(std::chrono::duration_cast<microseconds>(elapsed).count());
     settle(call, settlement);
     return result;
 }
@@ -85,7 +85,8 @@
     }
     const auto* home = membership_.find(call.parent->home);
     if (home != nullptr) {
-        // Before the answer goes up: the calling layer's own retry must find the loan returned.
+        // Settles before the response is returned, because the calling layer's own retry must find the loan
+        // returned.
         peers_.ask<daemon::Acknowledged>(home->info.peer, request, kPeerTimeout);
     }
 }
--- a/src/daemon/handles/ledger_route.hpp
+++ b/src/daemon/handles/ledger_route.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Accounts for a nested call at the home ledger of the call that makes it: the retries of all layers
+/// Accounts for a nested call in the home ledger of its calling call, so that the retries of all layers
 /// together stay within the root request's allowance. Owns nothing; relies on retry/retry_ledger for the
 /// decision.
 #pragma once
@@ -12,8 +12,9 @@
 
 namespace anisehold::daemon {
 
-/// Draws an allowance for the nested call and settles it afterwards. The ledger is this daemon's own where
-/// the calling server's gate and its nearest daemon are one; else one question to the peer that has it.
+/// Draws an allowance for the nested call and settles the loan afterwards. The ledger is local if this daemon
+/// is also the gate of the calling server; otherwise the handle sends one request to the peer that has the
+/// ledger.
 class LedgerRoute final : public RouteHandle {
   public:
     LedgerRoute(DaemonContext& context, PeerClient& peers, MembershipService& membership, GateService& gates,
--- a/src/daemon/handles/retry_route.cpp
+++ b/src/daemon/handles/retry_route.cpp
@@ -6,10 +6,10 @@
 namespace anisehold::daemon {
 namespace {
 
-/// Mean pause before a retry; jittered by half. Chosen, not measured.
-constexpr milliseconds kBackoff{10};
-/// While retries are left, an attempt may take this share of the remaining time. Chosen, not measured.
-constexpr double kAttemptShare = 0.6;
+/// Mean pause before a retry; jittered by up to half in both directions.
+constexpr milliseconds kMeanBackoff{10};
+/// Maximum share of the remaining time for one attempt while retries are left.
+constexpr double kMaxAttemptShare = 0.6;
 
 bool is_gateway_failure(unsigned status) {
     return status == 502 || status == 503 || status == 504;
@@ -31,7 +31,7 @@
                                observability::DecisionStep::kRetried,
                                result.response ? "status " + std::to_string(result.response->status)
                                                : std::string(answer_for(result.error).name));
-        boost::this_fiber::sleep_for(context_.jittered(kBackoff));
+        boost::this_fiber::sleep_for(context_.jittered(kMeanBackoff));
         result = attempt(call);
         used += result.retries_used;
         call.context.retry_allowance -= std::min(result.retries_used, call.context.retry_allowance);
@@ -44,7 +44,7 @@
     const auto call_deadline = call.deadline;
     if (call.context.retry_allowance > 0 && call.route.row.repeatable) {
         const auto now = TimePoint::clock::now();
-        call.deadline = now + std::chrono::duration_cast<Duration>((call_deadline - now) * kAttemptShare);
+        call.deadline = now + std::chrono::duration_cast<Duration>((call_deadline - now) * kMaxAttemptShare);
     }
     auto result = next_.route(call);
     call.deadline = call_deadline;
@@ -57,7 +57,7 @@
                                               result.error == ErrorKind::kConnectFailed ||
                                               result.error == ErrorKind::kDeadlineExceeded;
     const bool cancelled = call.cancel != nullptr && call.cancel->cancelled();
-    const bool time_left = TimePoint::clock::now() + kBackoff < call.deadline;
+    const bool time_left = TimePoint::clock::now() + kMeanBackoff < call.deadline;
     const bool allowed = call.route.row.repeatable && call.context.retry_allowance > 0 &&
                          call.request->body.whole() && !result.refused_by_overload();
     if (!failed || cancelled || !time_left || !allowed) {
--- a/src/daemon/handles/retry_route.hpp
+++ b/src/daemon/handles/retry_route.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Sends failed attempts again within the call's allowance and the row's budget. Owns the budget; relies on
-/// the ledgers for the allowance.
+/// Retries failed attempts within the call's allowance and the row's budget. Owns the budget; relies on the
+/// ledgers for the allowance.
 #pragma once
 
 #include "daemon/call.hpp"
@@ -9,8 +9,8 @@
 
 namespace anisehold::daemon {
 
-/// Never retries a call of a non-repeatable row, one that was refused for overload, or one whose body was
-/// streamed.
+/// Never retries a call of a non-repeatable row, a call that was refused for overload, or a call with a
+/// streamed request body.
 class RetryRoute final : public RouteHandle {
   public:
     RetryRoute(DaemonContext& context, RouteHandle& next) : context_(context), next_(next) {}
--- a/src/daemon/handles/server_route.cpp
+++ b/src/daemon/handles/server_route.cpp
@@ -9,11 +9,11 @@
 namespace anisehold::daemon {
 namespace {
 
-/// Most servers that one attempt is sent to.
-constexpr int kMostServers = 3;
+/// Maximum number of servers to which one attempt is sent.
+constexpr int kMaxServersPerAttempt = 3;
 
-/// Whether it is known that nothing ran, so that the call may go to another server.
-bool may_go_elsewhere(const CallResult& result) {
+/// Whether the call is known not to have run, so that another server may be tried.
+bool may_try_another_server(const CallResult& result) {
     if (result.response || result.execution != Execution::kNotRun) {
         return false;
     }
@@ -37,15 +37,15 @@
 
 CallResult ServerRoute::route(Call& call) {
     const unsigned allowance = call.context.retry_allowance;
-    auto result = route_to_one_of(call);
+    auto result = try_servers(call);
     result.retries_used += allowance - call.context.retry_allowance;
     call.context.retry_allowance = allowance;
     return result;
 }
 
-/// Charges the call for what it used at a server before it goes to another. False if it may not go on:
-/// where calls nested in it have run, another server is a retry like any other.
-bool ServerRoute::charge_for_move(Call& call, CallResult& result) {
+/// Charges the call for the retries used at one server before the call moves to another server. False if the
+/// call may not move: if calls nested in it have run, moving to another server counts as a retry.
+bool ServerRoute::charge_for_server_change(Call& call, CallResult& result) {
     const unsigned used = std::min(std::exchange(result.retries_used, 0), call.context.retry_allowance);
     call.context.retry_allowance -= used;
     if (!result.nested_ran) {
@@ -58,10 +58,10 @@
     return true;
 }
 
-CallResult ServerRoute::route_to_one_of(Call& call) {
+CallResult ServerRoute::try_servers(Call& call) {
     std::vector<Endpoint> tried;
     auto result = CallResult::failure(ErrorKind::kNoBackend, retry_after::kNoServer);
-    for (int attempt = 0; attempt < kMostServers; ++attempt) {
+    for (int attempt = 0; attempt < kMaxServersPerAttempt; ++attempt) {
         const auto now = TimePoint::clock::now();
         const auto chosen = routing::choose_server(registry_.candidates(now, call.service, tried),
                                                    context_.self.zone, context_.random);
@@ -72,7 +72,7 @@
         context_.decisions.add(call.context.root_id, call.context.call_id,
                                observability::DecisionStep::kServerChosen, chosen->endpoint.text());
         result = route_to(call, chosen->endpoint, chosen->zone);
-        if (streamed || !may_go_elsewhere(result) || !charge_for_move(call, result)) {
+        if (streamed || !may_try_another_server(result) || !charge_for_server_change(call, result)) {
             return result;
         }
         tried.push_back(chosen->endpoint);
@@ -114,7 +114,7 @@
         return CallResult::failure(ErrorKind::kCancelled);
     }
     if (progress.connected && !progress.request_started) {
-        // Its time was up before anything was sent; that says nothing of the gate.
+        // The deadline passed before anything was sent, which says nothing about the gate.
         return CallResult::failure(ErrorKind::kQueueTimeout, retry_after::kNoServer);
     }
     if (!progress.request_started) {
@@ -124,7 +124,7 @@
     const bool timed_out = TimePoint::clock::now() >= call.deadline;
     auto result = CallResult::failure(timed_out ? ErrorKind::kDeadlineExceeded : ErrorKind::kBackendFailed,
                                       retry_after::kNoServer);
-    // Nobody will say what was used: all of it counts as used.
+    // The number of retries used is unknown, so the whole allowance counts as used.
     result.retries_used = call.context.retry_allowance;
     if (!context_.has(config::Mechanism::kExactOutcomes)) {
         result.execution = Execution::kNotRun;
--- a/src/daemon/handles/server_route.hpp
+++ b/src/daemon/handles/server_route.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Picks a server for a call and passes the call to the server's gate, here or at another daemon. Owns the
-/// connections to other daemons; relies on the registry and the balancer for the choice.
+/// Chooses a server for a call and passes the call to the server's gate, in this daemon or another one. Owns
+/// the connections to other daemons; relies on the registry and the balancer for the choice.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 namespace anisehold::daemon {
 
-/// Goes on to another server where it is known that the first ran nothing.
+/// Tries another server only if the first server is known to have run nothing.
 class ServerRoute final : public RouteHandle {
   public:
     ServerRoute(DaemonContext& context, MembershipService& membership, routing::BackendRegistry& registry,
@@ -24,8 +24,8 @@
     CallResult route(Call& call) override;
 
   private:
-    CallResult route_to_one_of(Call& call);
-    static bool charge_for_move(Call& call, CallResult& result);
+    CallResult try_servers(Call& call);
+    static bool charge_for_server_change(Call& call, CallResult& result);
     CallResult route_to(Call& call, const Endpoint& server, const std::string& zone);
     CallResult ask_remote_gate(Call& call, const Endpoint& server, const membership::MemberInfo& gate);
     CallResult remote_result(net::HttpResponse response, const Call& call, const Endpoint& server);
--- a/src/daemon/holder_view_keeper.cpp
+++ b/src/daemon/holder_view_keeper.cpp
@@ -13,14 +13,13 @@
 using observability::Event;
 using observability::log_event;
 
-/// Time between two looks at the members.
+/// Interval between two checks of the members.
 constexpr milliseconds kKeeperPeriod{100};
-/// How long a holder is waited for when it is asked whether it serves the view.
+/// Timeout of a request that asks a holder whether it serves the view.
 constexpr milliseconds kStatusTimeout{300};
-/// Holders in each zone; each key has `claims::kHoldersPerKey` of all of them.
+/// Holders per zone; each key is held by `claims::kHoldersPerKey` of all holders.
 constexpr std::size_t kHoldersPerZone = 3;
-/// A wish for another view must have lasted this long before it is proposed, unless a planned stop is all
-/// that it comes from.
+/// How long another view must be wanted before the view is proposed, unless planned stops are the only cause.
 constexpr seconds kViewHysteresis{1};
 
 std::string_view outcome_name(store::SwapOutcome outcome) {
@@ -54,43 +53,43 @@
 void HolderViewKeeper::review(Review& review) {
     const auto& view = documents_.holder_view();
     const bool changed = membership_.version() != review.seen_version || view.epoch != review.seen_epoch;
-    if (!changed && !review.wished_since) {
+    if (!changed && !review.wanted_since) {
         return;
     }
     review.seen_version = membership_.version();
     review.seen_epoch = view.epoch;
     const auto working = as_holders(membership_.working_members());
-    const auto wished = claims::choose_holders(view.holders, working, kHoldersPerZone);
-    const bool differs = wished != view.holders && !wished.empty();
+    const auto wanted = claims::choose_holders(view.holders, working, kHoldersPerZone);
+    const bool differs = wanted != view.holders && !wanted.empty();
     const bool is_keeper = membership_.is_among_first(1, "holder-view-keeper");
     if (differs && !is_keeper) {
-        // Looked at again, since the keeper may fail without any change here.
+        // Check again next time: the responsible daemon may fail without any change seen here.
         review.seen_version = 0;
     }
     if (!differs || !is_keeper || context_.settings.platform_stores.empty()) {
-        review.wished_since.reset();
+        review.wanted_since.reset();
         return;
     }
     const auto now = TimePoint::clock::now();
-    review.wished_since = review.wished_since.value_or(now);
-    if (now - *review.wished_since >= kViewHysteresis || is_planned(wished)) {
-        review.wished_since.reset();
-        propose(wished);
+    review.wanted_since = review.wanted_since.value_or(now);
+    if (now - *review.wanted_since >= kViewHysteresis || is_planned(wanted)) {
+        review.wanted_since.reset();
+        propose(wanted);
     }
 }
 
-/// Whether the wished view differs from the present one only by members that announced their stop.
-bool HolderViewKeeper::is_planned(const std::vector<Holder>& wished) const {
-    const auto& present = documents_.holder_view().holders;
+/// Whether the wanted view differs from the current view only by members that announced a planned stop.
+bool HolderViewKeeper::is_planned(const std::vector<Holder>& wanted) const {
+    const auto& current_holders = documents_.holder_view().holders;
     const auto is_new = [&](const Holder& holder) {
-        return std::find(present.begin(), present.end(), holder) == present.end();
+        return std::find(current_holders.begin(), current_holders.end(), holder) == current_holders.end();
     };
     const auto left_unplanned = [&](const Holder& holder) {
-        const bool stays = std::find(wished.begin(), wished.end(), holder) != wished.end();
+        const bool stays = std::find(wanted.begin(), wanted.end(), holder) != wanted.end();
         return !stays && !has_announced_stop(membership_, holder);
     };
-    return std::none_of(wished.begin(), wished.end(), is_new) &&
-           std::none_of(present.begin(), present.end(), left_unplanned);
+    return std::none_of(wanted.begin(), wanted.end(), is_new) &&
+           std::none_of(current_holders.begin(), current_holders.end(), left_unplanned);
 }
 
 bool HolderViewKeeper::serves(const Holder& holder, std::uint64_t epoch) {
@@ -106,8 +105,9 @@
     return reply && reply->serving;
 }
 
-/// Changing the view in a minority part of a cut fleet would leave nobody to take over from.
-bool HolderViewKeeper::present_view_is_covered() {
+/// Required before a change of view: after a change in a minority partition of the fleet, the new holders
+/// would have nobody to take the grants over from.
+bool HolderViewKeeper::current_view_is_covered() {
     const auto view = documents_.holder_view();
     std::vector<Holder> missing;
     for (const auto& holder : view.holders) {
@@ -119,11 +119,11 @@
 }
 
 void HolderViewKeeper::propose(const std::vector<Holder>& holders) {
-    // The view may change while its holders are asked; the swap must be against the one they were asked
-    // about.
+    // The view may change while its holders are asked, so the swap compares with the revision whose holders
+    // were asked.
     const auto revision = documents_.holder_view_revision();
     const auto current = documents_.holder_view();
-    if (!present_view_is_covered()) {
+    if (!current_view_is_covered()) {
         return;
     }
     claims::HolderView next;
--- a/src/daemon/http_limits.cpp
+++ b/src/daemon/http_limits.cpp
@@ -3,9 +3,8 @@
 namespace anisehold::daemon {
 namespace {
 
-/// Largest body of a request to the admin port, in bytes: a table with its base, as CSV. Chosen, not
-/// measured.
-constexpr std::uint64_t kLargestTableBytes = 4 * 1024 * 1024;
+/// Maximum body size of a request to the admin port: an edited table and its base version, as CSV.
+constexpr std::uint64_t kMaxAdminBodyBytes = 4 * 1024 * 1024;
 
 }  // namespace
 
@@ -21,7 +20,7 @@
 
 net::HttpServerLimits admin_limits() {
     net::HttpServerLimits limits;
-    limits.body_bytes = kLargestTableBytes;
+    limits.body_bytes = kMaxAdminBodyBytes;
     return limits;
 }
 
--- a/src/daemon/http_limits.hpp
+++ b/src/daemon/http_limits.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// The limits of the table daemon's HTTP servers and connection pools, in one place. Owns nothing; relies on
-/// the settings. Connections to the store have their own, in store/etcd_store.cpp, since the command line
-/// uses them too.
+/// The limits of the table daemon's HTTP servers and connection pools. Owns nothing; relies on the settings.
+/// The limits of store connections are in store/etcd_store.cpp, because the command line uses them too.
 #pragma once
 
 #include "config/settings.hpp"
@@ -10,14 +9,14 @@
 
 namespace anisehold::daemon {
 
-/// Of the listener for callers and other daemons: the settings `limits.*`.
+/// Limits of the listener for callers and other daemons, from the settings `limits.*`.
 net::HttpServerLimits caller_limits(const config::Settings& settings);
 
-/// Of the admin port.
+/// Limits of the admin port.
 net::HttpServerLimits admin_limits();
 
-/// Of a gate's connections to its server: the settings `backends.*`. `reuse_unclean` is for the lab alone:
-/// broken exchanges are pooled too.
+/// Limits of a gate's connections to its server, from the settings `backends.*`. `reuse_unclean` is only for
+/// the lab: connections are returned to the pool even after broken exchanges.
 net::HttpPoolLimits gate_pool_limits(const config::Settings& settings, bool reuse_unclean);
 
 }  // namespace anisehold::daemon
--- a/src/daemon/ingress.cpp
+++ b/src/daemon/ingress.cpp
@@ -15,14 +15,13 @@
 using observability::Event;
 using observability::log_event;
 
-/// Hex digits of the ids that are made here, as in W3C trace context: a trace id and a span id.
+/// Lengths of generated ids in hex digits, as in W3C Trace Context: a trace id and a span id.
 constexpr std::size_t kRootIdDigits = 32;
 constexpr std::size_t kCallIdDigits = 16;
-/// Longest timeout that a caller may ask for, and longest Retry-After that is reported, in milliseconds.
-/// Chosen, not measured.
+/// Maximum timeout that a caller may request, and maximum Retry-After in a gate report.
 constexpr long long kMaxTimeoutMs = 3'600'000;
 
-/// The service named by the Host header, without a port.
+/// Service name from the Host header, without the port.
 std::string service_of(const net::HttpRequest& request) {
     const auto host = request.fields.find("Host").value_or("");
     return std::string(host.substr(0, host.find(':')));
@@ -157,7 +156,7 @@
     const bool unclaimed =
         call.is_root() && !call.route.row.repeatable && !call.context.dispatched_at_most_once;
     if (!result.response && unclaimed && result.execution == Execution::kNotRun) {
-        // No claim was won, so an earlier attempt with the same key may have run.
+        // No claim was granted to this attempt, so an earlier attempt with the same key may have run.
         result.execution = Execution::kAttemptNotRun;
     }
     return finish(call, std::move(result));
@@ -196,9 +195,9 @@
 
 net::HttpResponse Ingress::finish(const Call& call, CallResult result) {
     const auto& row = call.route.row.name;
-    const auto taken = TimePoint::clock::now() - call.received;
+    const auto elapsed = TimePoint::clock::now() - call.received;
     if (result.response) {
-        context_.metrics.count_answer(row, result.response->status, taken);
+        context_.metrics.count_answer(row, result.response->status, elapsed);
         context_.decisions.add(call.context.root_id, call.context.call_id, DecisionStep::kAnswered,
                                "status " + std::to_string(result.response->status));
         result.response->fields.set(header::kRequestId, call.context.root_id);
@@ -219,7 +218,7 @@
     const auto& answer = answer_for(result.error);
     net::Problem problem{result.error, request_id, "about:blank", result.execution, std::nullopt};
     if (answer.retry_advice == RetryAdvice::kSoon) {
-        // Jitter keeps callers that were refused together from coming back together.
+        // Jitter prevents callers that were refused together from retrying at the same time.
         const auto base = std::max<Duration>(result.retry_after, milliseconds(1));
         const auto jittered = std::chrono::duration_cast<Duration>(
             base * (1.0 + retry_after::kServeSpread * context_.random_unit()));
--- a/src/daemon/ingress.hpp
+++ b/src/daemon/ingress.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Takes calls in: from callers, from servers (nested calls) and from other daemons (gate requests). Owns the
-/// handles that a call passes; relies on the table in force for the call's row.
+/// Accepts calls from callers, from servers (nested calls) and from other daemons (gate requests). Owns the
+/// chain of route handles; relies on the active table for the call's row.
 #pragma once
 
 #include "daemon/call.hpp"
@@ -21,7 +21,7 @@
 
 namespace anisehold::daemon {
 
-/// Turns HTTP requests into calls, routes them, and turns results into HTTP answers.
+/// Converts HTTP requests into calls, routes them, and converts the results into HTTP responses.
 class Ingress {
   public:
     Ingress(DaemonContext& context, PeerClient& peers, MembershipService& membership,
@@ -29,7 +29,7 @@
             routing::BackendRegistry& registry);
 
     net::HttpResponse handle(net::HttpRequest& request, net::CancelSignal& cancel);
-    /// The answer to a request that could not be read.
+    /// Returns the response to a request that could not be parsed.
     net::HttpResponse reject(ErrorKind kind);
 
   private:
@@ -45,6 +45,7 @@
     DocumentService& documents_;
     GateService& gates_;
 
+    // Order of the route handles:
     // Root request:  client ledger -> early refusal -> claim -> retry -> server.
     // Nested call:   ledger        ->                  claim -> retry -> server.
     ServerRoute server_route_;
--- a/src/daemon/json_response.hpp
+++ b/src/daemon/json_response.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// JSON answers of the admin port.
+/// JSON responses of the admin port.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/daemon/membership_service.cpp
+++ b/src/daemon/membership_service.cpp
@@ -15,20 +15,19 @@
 using membership::MemberRecord;
 using membership::MemberState;
 
-// All chosen, not measured.
-
-/// How often timers advance in a period of the gossip; `Swim::tick` asks for four times at least.
+/// Timer ticks per gossip period; `Swim::tick` requires at least four.
 constexpr int kTicksPerPeriod = 8;
-/// How long a member is waited for that is asked for its full list.
+/// Timeout for a member's full list.
 constexpr seconds kExchangeTimeout{2};
-/// Full lists are exchanged as a safety net under the gossip: soon after joining, since a fleet that starts
-/// at once has more changes than gossip carries, then at doubling times up to the longest one.
-constexpr seconds kFirstFullExchange{2};
-constexpr seconds kFullExchangePeriod{60};
+/// Periods of the full list exchange, which complements the gossip. The first exchange follows soon after
+/// joining, because a fleet that starts all at once has more changes than gossip can carry; the period then
+/// doubles up to the maximum.
+constexpr seconds kInitialExchangePeriod{2};
+constexpr seconds kMaxExchangePeriod{60};
 /// Pause between attempts to join through the seeds.
-constexpr milliseconds kJoinRetry{250};
-/// How long a member that couldn't be connected to gates no servers.
-constexpr seconds kUnreachableHolds{1};
+constexpr milliseconds kJoinRetryPause{250};
+/// How long a member gates no servers after a failed connection attempt.
+constexpr seconds kUnreachablePeriod{1};
 
 membership::SwimConfig swim_config(const config::Settings& settings) {
     membership::SwimConfig config;
@@ -127,12 +126,12 @@
             }
             joined = exchange_with(seed) || joined;
         }
-        boost::this_fiber::sleep_for(kJoinRetry);
+        boost::this_fiber::sleep_for(kJoinRetryPause);
     }
-    Duration period = kFirstFullExchange;
+    Duration period = kInitialExchangePeriod;
     while (true) {
         boost::this_fiber::sleep_for(context_.jittered(period));
-        period = std::min<Duration>(period * 2, kFullExchangePeriod);
+        period = std::min<Duration>(period * 2, kMaxExchangePeriod);
         const auto peer = swim_.random_peer();
         if (peer) {
             exchange_with(peer->peer);
@@ -170,7 +169,7 @@
 }
 
 void MembershipService::mark_unreachable(const std::string& id) {
-    unreachable_until_[id] = TimePoint::clock::now() + kUnreachableHolds;
+    unreachable_until_[id] = TimePoint::clock::now() + kUnreachablePeriod;
 }
 
 const std::vector<MemberRecord>& MembershipService::working_members() const {
--- a/src/daemon/peer_client.hpp
+++ b/src/daemon/peer_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Typed requests to other daemons, over TCP. Owns its connections; relies on peer_messages for the encoding.
+/// Typed requests to other daemons over TCP. Owns its connections; relies on peer_messages for the encoding.
 #pragma once
 
 #include <optional>
@@ -14,8 +14,8 @@
   public:
     explicit PeerClient(DaemonContext& context);
 
-    /// The reply of the expected type; nothing if none came within `timeout`, it wasn't authentic, or it was
-    /// of another type. Blocks the fiber.
+    /// Sends a request and returns the reply. Nothing if no reply arrived within `timeout`, or the reply
+    /// wasn't authentic or of another type. Blocks the fiber.
     template <typename Reply>
     std::optional<Reply> ask(const Endpoint& peer, const PeerRequest& request, Duration timeout) {
         auto reply = exchange(peer, request, timeout);
--- a/src/daemon/peer_messages.cpp
+++ b/src/daemon/peer_messages.cpp
@@ -6,7 +6,8 @@
 namespace anisehold::daemon {
 namespace {
 
-// The purposes keep a message of one kind, or of another version of the protocol, from being accepted.
+// Prefixes of the authenticated data. They prevent a message of another kind or protocol version from being
+// accepted.
 constexpr std::string_view kGossipPurpose = "gossip-1:";
 constexpr std::string_view kRequestPurpose = "request-1:";
 constexpr std::string_view kReplyPurpose = "reply-1:";
--- a/src/daemon/peer_messages.hpp
+++ b/src/daemon/peer_messages.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Messages between table daemons over TCP, and the authenticated encoding of those and of gossip datagrams.
-/// Owns the list of requests and replies, whose order is on the wire; claims, retries and membership own
-/// their own messages. Pure.
+/// Messages between table daemons over TCP, and the authenticated encoding of these messages and of gossip
+/// datagrams. Owns the list of request and reply types, whose order is part of the wire format; claims,
+/// retries and membership define their own messages. Pure.
 #pragma once
 
 #include <boost/variant.hpp>
@@ -20,7 +20,7 @@
 
 namespace anisehold::daemon {
 
-/// Asks for all member records; brings the sender's own one.
+/// Requests all member records; carries the sender's own record.
 struct MembersRequest {
     std::vector<membership::MemberRecord> records;
 
@@ -39,7 +39,7 @@
     }
 };
 
-/// Asks for a document; answered by `Document`, with revision 0 if there is none.
+/// Requests a document. The reply is a `Document`, with revision 0 if there is none.
 struct DocumentRequest {
     DocumentKind kind = DocumentKind::kTable;
 
@@ -49,7 +49,7 @@
     }
 };
 
-/// Asks which document revisions a daemon has.
+/// Requests a daemon's document revisions.
 struct RevisionsRequest {
     template <typename Archive>
     void serialize(Archive& /*archive*/, unsigned /*version*/) {}
@@ -64,7 +64,7 @@
     }
 };
 
-/// Asks a coordinator for the answer that it kept for a key.
+/// Requests the response that a coordinator stored for a key.
 struct AnswerRequest {
     std::string key;
 
@@ -74,7 +74,7 @@
     }
 };
 
-/// At most one answer.
+/// Contains at most one stored response.
 struct AnswerReply {
     std::vector<StoredAnswer> answers;
 
@@ -84,7 +84,7 @@
     }
 };
 
-/// The reply to a request that needs no other one.
+/// Reply to a request that needs no result.
 struct Acknowledged {
     template <typename Archive>
     void serialize(Archive& /*archive*/, unsigned /*version*/) {}
@@ -97,15 +97,15 @@
     boost::variant<Acknowledged, MembersReply, Document, claims::ClaimReply, claims::ClaimSyncReply,
                    claims::ClaimStatusReply, retry::DrawReply, AnswerReply, RevisionsReply>;
 
-/// Largest encoded message, in bytes; a longer frame is refused unread. Chosen, not measured.
+/// Maximum size of an encoded message; a longer frame is rejected without being read.
 inline constexpr std::size_t kMaxFrameBytes = 8 * 1024 * 1024;
 
-/// Encodes with a leading authentication code under `key`.
+/// Encodes a message, preceded by its authentication code under `key`.
 std::string encode(const membership::GossipMessage& message, std::string_view key);
 std::string encode(const PeerRequest& message, std::string_view key);
 std::string encode(const PeerReply& message, std::string_view key);
 
-/// Decode; nothing if the code doesn't fit `key` or the content is malformed.
+/// Decodes a message. Nothing if the authentication code doesn't match `key` or the content is malformed.
 std::optional<membership::GossipMessage> decode_gossip(std::string_view bytes, std::string_view key);
 std::optional<PeerRequest> decode_request(std::string_view bytes, std::string_view key);
 std::optional<PeerReply> decode_reply(std::string_view bytes, std::string_view key);
--- a/src/daemon/peer_service.cpp
+++ b/src/daemon/peer_service.cpp
@@ -5,15 +5,15 @@
 namespace anisehold::daemon {
 namespace {
 
-/// One overload per request type.
-struct Answerer : boost::static_visitor<PeerReply> {
+/// Dispatches a request to its service; one overload per request type.
+struct RequestVisitor : boost::static_visitor<PeerReply> {
     MembershipService& membership;
     DocumentService& documents;
     ClaimService& claims;
     GateService& gates;
 
-    Answerer(MembershipService& membership, DocumentService& documents, ClaimService& claims,
-             GateService& gates)
+    RequestVisitor(MembershipService& membership, DocumentService& documents, ClaimService& claims,
+                   GateService& gates)
         : membership(membership), documents(documents), claims(claims), gates(gates) {}
 
     PeerReply operator()(const MembersRequest& request) const {
@@ -47,13 +47,13 @@
       documents_(documents),
       claims_(claims),
       gates_(gates),
-      server_(context.io, kMaxFrameBytes, [this](std::string_view frame) { return answer_frame(frame); }) {}
+      server_(context.io, kMaxFrameBytes, [this](std::string_view frame) { return handle_frame(frame); }) {}
 
 std::error_code PeerService::start() {
     return server_.start(context_.settings.daemon_peer);
 }
 
-std::optional<std::string> PeerService::answer_frame(std::string_view frame) {
+std::optional<std::string> PeerService::handle_frame(std::string_view frame) {
     const auto& key = context_.settings.daemon_mesh_key;
     const auto request = decode_request(frame, key);
     if (!request) {
@@ -61,8 +61,8 @@
                                  {{"transport", "tcp"}, {"bytes", std::to_string(frame.size())}});
         return std::nullopt;
     }
-    const Answerer answerer(membership_, documents_, claims_, gates_);
-    auto reply = encode(boost::apply_visitor(answerer, *request), key);
+    const RequestVisitor visitor(membership_, documents_, claims_, gates_);
+    auto reply = encode(boost::apply_visitor(visitor, *request), key);
     context_.control_bytes += frame.size() + reply.size();
     return reply;
 }
--- a/src/daemon/peer_service.hpp
+++ b/src/daemon/peer_service.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Answers other daemons' requests over TCP. Owns the listener; a frame that isn't authentic is logged and
-/// closes the connection unanswered.
+/// Serves other daemons' requests over TCP. Owns the listener. A frame that isn't authentic is logged, and
+/// its connection is closed without a reply.
 #pragma once
 
 #include "daemon/claim_service.hpp"
@@ -21,7 +21,7 @@
     std::error_code start();
 
   private:
-    std::optional<std::string> answer_frame(std::string_view frame);
+    std::optional<std::string> handle_frame(std::string_view frame);
 
     DaemonContext& context_;
     MembershipService& membership_;
--- a/src/daemon/server_gates.cpp
+++ b/src/daemon/server_gates.cpp
@@ -12,7 +12,7 @@
 
 using config::Mechanism;
 
-/// Requests at once while the lab has switched learning off: as good as no limit.
+/// Concurrency limit while the lab has switched off the learned limit: high enough never to be reached.
 constexpr unsigned kUnlimited = 100'000;
 
 admission::GateCall gate_call_of(const Call& call, std::uint64_t id) {
@@ -54,9 +54,9 @@
     }
     const auto initial = static_cast<unsigned>(context_.settings.backends_initial_limit);
     const auto connections = static_cast<unsigned>(context_.settings.backends_connections_per_server);
-    const unsigned most = ceiling == 0 ? connections : std::min(ceiling, connections);
+    const unsigned max_limit = ceiling == 0 ? connections : std::min(ceiling, connections);
     return std::make_unique<admission::AimdLimit>(
-        admission::LimitBounds{ceiling == 0 ? std::min(initial, most) : most, most});
+        admission::LimitBounds{ceiling == 0 ? std::min(initial, max_limit) : max_limit, max_limit});
 }
 
 std::shared_ptr<GateEntry> ServerGates::open_gate(const Endpoint& server, unsigned ceiling) const {
@@ -77,7 +77,7 @@
         gate = open_gate(server, ceiling);
     }
     if (gate->ceiling != ceiling) {
-        // The operators changed the cell: start again from the new ceiling.
+        // The operators changed the row's limit, so the learned limit starts again from the new ceiling.
         gate->ceiling = ceiling;
         gate->gate.set_limit(make_limit(ceiling));
     }
@@ -127,7 +127,8 @@
 }
 
 void ServerGates::housekeep() {
-    // Servers come and go by the hundred a day; a gate goes with its server.
+    // Hundreds of servers appear and disappear each day, so a gate is removed when its server is no longer
+    // listed.
     std::erase_if(gates_, [&](const auto& entry) {
         const auto load = entry.second->gate.load();
         return registry_.find(entry.first) == nullptr && load.in_flight == 0 && load.queued == 0;
--- a/src/daemon/server_gates.hpp
+++ b/src/daemon/server_gates.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The gates that this daemon keeps, one for each server: its learned limit, the calls that wait for
-/// admission, and its connections. Owns all of these; relies on the registry for which servers there are.
+/// The gates that this daemon keeps, one per server. Owns each gate's learned limit, the calls waiting for
+/// admission, and the connections to the server; relies on the registry for which servers are listed.
 #pragma once
 
 #include <cstdint>
@@ -19,52 +19,53 @@
 
 namespace anisehold::daemon {
 
-/// Present state of one gate, for status pages.
+/// Current state of one gate, for status pages.
 struct GateStatus {
     Endpoint server;
     admission::GateLoad load;
-    unsigned admitted_priority = 0;  ///< Least important priority that is admitted now.
+    unsigned admitted_priority = 0;  ///< Least important priority that is currently admitted.
     std::size_t open_connections = 0;
 };
 
-/// A call that waits at a gate. Its fiber wakes when one of the flags is set, or at its own time limit.
+/// A call waiting at a gate. Its fiber wakes when one of the flags is set or its own time limit is reached.
 struct WaitingCall {
     net::FiberEvent event;
     bool admitted = false;
-    bool evicted = false;  ///< A more important call took its place in the queue.
+    bool evicted = false;  ///< A more important call took the place in the queue.
 };
 
-/// One server's gate with what belongs to it.
+/// One server's gate, its connections and its waiting calls.
 struct GateEntry {
     GateEntry(std::unique_ptr<admission::ConcurrencyLimit> limit, const admission::GateOptions& options,
               boost::asio::io_context& io, const Endpoint& server, const net::HttpPoolLimits& pool)
         : gate(std::move(limit), options), client(io, server, pool) {}
 
-    /// Wakes the waiting calls that the gate has admitted.
+    /// Wakes the waiting calls with the given ids, which the gate has admitted.
     void wake(const std::vector<std::uint64_t>& admitted);
 
     admission::ServerGate gate;
     net::HttpClient client;
-    unsigned ceiling = 0;  ///< Most requests at once, by the service's row; 0 if the row has no limit.
+    unsigned ceiling = 0;  ///< Concurrency limit of the service's row; 0 if none.
     std::unordered_map<std::uint64_t, std::shared_ptr<WaitingCall>> waiting;
 };
 
-/// Used from the daemon's one thread.
+/// Not thread-safe: used from the daemon's single thread only.
 class ServerGates {
   public:
     ServerGates(DaemonContext& context, const routing::BackendRegistry& registry)
         : context_(context), registry_(registry) {}
 
-    /// The gate of a server, opened if there is none. A changed limit of the service's row starts it again.
+    /// Returns the gate of a server, creating the gate if there is none. If the limit in the service's row
+    /// has changed, the gate's learned limit starts again from the new value.
     std::shared_ptr<GateEntry> gate_for(const Endpoint& server, const routing::RouteDecision& route);
-    /// Blocks the fiber until the call is admitted (nothing is returned) or refused, has waited too long, or
-    /// its caller has gone.
+    /// Blocks the fiber until the call is admitted (returns nothing) or fails: refused, timed out in the
+    /// queue, or cancelled by its caller.
     std::optional<CallResult> wait_for_admission(GateEntry& gate, const Call& call, std::uint64_t id);
-    /// Drops idle gates of servers that aren't listed any more, and sets the gates' metrics.
+    /// Removes idle gates of servers that are no longer listed, and updates the gates' metrics.
     void housekeep();
 
     std::vector<GateStatus> status() const;
-    /// All zeros for a server without a gate here.
+    /// All zeros if this daemon has no gate for the server.
     admission::GateLoad load_of(const Endpoint& server) const;
 
   private:
--- a/src/daemon/status_page.hpp
+++ b/src/daemon/status_page.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The status page of the admin port: what one daemon knows and does at this moment. Owns nothing.
+/// The status page of the admin port: the current state of one daemon. Owns nothing.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,7 +13,7 @@
 
 namespace anisehold::daemon {
 
-/// The parts that the page shows.
+/// The parts of the daemon whose state the page shows.
 struct StatusSources {
     const DaemonContext& context;
     const MembershipService& membership;
--- a/src/daemon/table_admin.cpp
+++ b/src/daemon/table_admin.cpp
@@ -18,25 +18,25 @@
 constexpr unsigned kForbidden = 403;
 constexpr unsigned kConflict = 409;
 constexpr unsigned kUnavailable = 503;
-/// How long a member is waited for that is asked for its table revision. Chosen, not measured.
+/// Timeout of a request for a member's table revision.
 constexpr milliseconds kPeerTimeout{500};
 
-/// An operator's change as the page sends it.
+/// An operator's change as sent by the table page.
 struct TableEdit {
     std::string base_csv;
     std::string csv;
-    std::uint64_t revision = 0;  ///< Of the table that was edited.
+    std::uint64_t revision = 0;  ///< Revision of the table before the edit.
     std::string author;
 };
 
-/// Nothing if the text isn't one.
+/// Parses a change; nothing if the text is malformed.
 std::optional<TableEdit> read_edit(const std::string& json_text) {
     const auto body = ordered_json::parse(json_text, nullptr, false);
-    const bool shaped = body.is_object() && body.contains("base_csv") && body["base_csv"].is_string() &&
-                        body.contains("csv") && body["csv"].is_string() && body.contains("revision") &&
-                        body["revision"].is_number_unsigned() && body.contains("author") &&
-                        body["author"].is_string();
-    if (!shaped) {
+    const bool well_formed = body.is_object() && body.contains("base_csv") && body["base_csv"].is_string() &&
+                             body.contains("csv") && body["csv"].is_string() && body.contains("revision") &&
+                             body["revision"].is_number_unsigned() && body.contains("author") &&
+                             body["author"].is_string();
+    if (!well_formed) {
         return std::nullopt;
     }
     return TableEdit{body["base_csv"].get<std::string>(), body["csv"].get<std::string>(),
@@ -126,7 +126,7 @@
 net::HttpResponse TableAdmin::table_by_zone() {
     constexpr auto table_index = static_cast<std::size_t>(DocumentKind::kTable);
     ordered_json zones = ordered_json::object();
-    // A copy, since the list may change while members are asked.
+    // A copy, because the list may change while members are asked.
     const auto members = membership_.working_members();
     for (const auto& record : members) {
         std::uint64_t revision = documents_.revisions()[table_index];
@@ -162,7 +162,8 @@
         return json_response(kUnavailable, {{"outcome", "unreachable"}, {"error", error.message()}});
     }
     if (base->revision != edit->revision) {
-        // Edited from an older table: the compare-and-swap on that revision settles which cells collide.
+        // The edit is based on an older table; the compare-and-swap on its revision determines which cells
+        // collide.
         base->record.table = std::move(edited.table);
         base->revision = edit->revision;
     }
--- a/src/daemon/table_admin.hpp
+++ b/src/daemon/table_admin.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The admin port's part for the operators' table: showing it, and accepting a changed one. Owns nothing;
-/// relies on the documents for the table in force and on the store for the change.
+/// The admin port's pages for the operators' table: showing the table, and accepting a changed one. Owns
+/// nothing; relies on the document service for the active table and on the store for changes.
 #pragma once
 
 #include "daemon/daemon_context.hpp"
@@ -17,13 +17,15 @@
                DocumentService& documents)
         : context_(context), peers_(peers), membership_(membership), documents_(documents) {}
 
-    /// The table in force here.
+    /// The table that is active at this daemon.
     net::HttpResponse table() const;
-    /// Table revisions of all members, by zone; asks each member. Revision 0 for one that didn't answer.
+    /// Table revisions of all members by zone, requested from each member. Revision 0 for a member that
+    /// didn't reply.
     net::HttpResponse table_by_zone();
-    /// Takes {"base_csv", "csv", "revision", "author"}: the table that was edited, the edited one, the
-    /// revision of the former. Needs the operator token: 403 without. 400 for a malformed request or a bad
-    /// table, 409 for a collision, 503 if the store doesn't answer.
+    /// Accepts a change given as {"base_csv", "csv", "revision", "author"}: the table before the edit, the
+    /// edited table, the revision of the table before the edit, and the operator's name. Returns 403 without
+    /// the operator token, 400 for a malformed request or an invalid table, 409 for a collision, and 503 if
+    /// the store doesn't answer.
     net::HttpResponse accept(const net::HttpRequest& request);
 
   private:
--- a/src/daemon/table_page.hpp
+++ b/src/daemon/table_page.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The table page that the admin port serves; its source is table_page.html beside this file.
+/// The table page that the admin port serves; the source is table_page.html in this folder.
 #pragma once
 
 #include <string_view>
--- a/tests/unit/daemon/answer_store_test.cpp
+++ b/tests/unit/daemon/answer_store_test.cpp
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-TEST_CASE("kept answers are bounded by age and size") {
+TEST_CASE("stored responses are bounded by age and size") {
     AnswerStore store(milliseconds(1'000));
     store.keep(at_ms(0), "a", {200, {}, "body"});
     CHECK(store.find("a")->body == "body");
-    store.keep(at_ms(0), "large", {200, {}, std::string(AnswerStore::kLargestAnswerBytes, 'x')});
+    store.keep(at_ms(0), "large", {200, {}, std::string(AnswerStore::kMaxAnswerBytes, 'x')});
     CHECK_FALSE(store.find("large"));
     store.keep(at_ms(2'000), "b", {200, {}, ""});
     CHECK_FALSE(store.find("a"));
     for (int count = 0; count < 5'000; ++count) {
         store.keep(at_ms(2'000), std::to_string(count), {200, {}, std::string(10'000, 'x')});
     }
-    CHECK(store.bytes() <= AnswerStore::kMostBytes);
+    CHECK(store.bytes() <= AnswerStore::kMaxTotalBytes);
 }
--- a/tests/unit/daemon/peer_messages_test.cpp
+++ b/tests/unit/daemon/peer_messages_test.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("a gossip message survives encoding and fits a datagram") {
+TEST_CASE("a gossip message round-trips and fits into a datagram") {
     const auto bytes = encode(sample_gossip(membership::kMaxUpdates), kKey);
     CHECK(bytes.size() <= 1'400);
     const auto decoded = decode_gossip(bytes, kKey);
@@ -40,7 +40,7 @@
     CHECK(decoded->revisions[1] == 6);
 }
 
-TEST_CASE("a message of one kind is not taken for another") {
+TEST_CASE("a message of one kind is not decoded as another kind") {
     const auto bytes = encode(PeerRequest(DocumentRequest{DocumentKind::kTable}), kKey);
     CHECK(decode_request(bytes, kKey));
     CHECK_FALSE(decode_reply(bytes, kKey));
@@ -48,7 +48,7 @@
     CHECK_FALSE(decode_request(bytes, "another-key-of-16-chars"));
 }
 
-TEST_CASE("malformed content is refused, or harmless, even with a valid code") {
+TEST_CASE("malformed content with a valid authentication code is rejected") {
     std::mt19937 random(1);
     const auto valid = encode(sample_gossip(2), kKey).substr(kMacBytes);
     for (int round = 0; round < 2'000; ++round) {
