--- a/src/config/mechanisms.hpp
+++ b/src/config/mechanisms.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The closed list of mechanisms that the lab may switch off, to show what each is for. Owns their names in
-/// settings, which are older than some of the names here; each mechanism's own code asks whether it is on.
+/// The fixed list of mechanisms that the lab may switch off, to show the purpose of each. Owns their names in
+/// settings, some of which differ from the names here; the code of each mechanism checks whether the
+/// mechanism is enabled.
 #pragma once
 
 #include <bitset>
@@ -11,51 +12,54 @@
 
 namespace anisehold::config {
 
-/// A mechanism behind one of the product's promises. Each line says what happens with it off.
+/// A mechanism behind one of the product's guarantees. Each comment describes the behavior with the mechanism
+/// switched off.
 enum class Mechanism {
-    kRetryEscrow,        ///< Off: retries aren't bounded over the chain of a root request.
-    kPriorityAdmission,  ///< Off: gates admit by time of arrival alone.
+    kRetryEscrow,        ///< Off: retries aren't bounded across the call chain of a root request.
+    kPriorityAdmission,  ///< Off: gates admit calls in order of arrival only.
     kEarlyRefusal,       ///< Off: root requests for a service without capacity aren't refused at the edge.
-    kGateLimit,          ///< Off: gates let any number of requests run at their server.
-    kConnectionHygiene,  ///< Off: connections are kept for later requests whatever became of the exchange.
+    kGateLimit,          ///< Off: gates admit any number of concurrent requests to their server.
+    kConnectionHygiene,  ///< Off: connections are reused even after a failed or incomplete exchange.
     kExactOutcomes,      ///< Off: a request that may have run is reported as not run.
     kClaims,             ///< Off: non-repeatable requests are sent without a claim.
-    kClaimAbstention,    ///< Off: a claim holder that restarted grants claims at once.
-    kLeavingDetection,   ///< Off: servers that are leaving get new requests.
+    kClaimAbstention,    ///< Off: a claim holder grants claims immediately after a restart.
+    kLeavingDetection,   ///< Off: servers that are leaving receive new requests.
     kGracefulDrain,      ///< Off: a planned stop doesn't wait for requests in flight.
     kRevisionOrder,      ///< Off: an older revision of a document replaces a newer one.
-    kPeerDistribution,   ///< Off: documents come from the store alone, not from peers.
-    // Of the sidecar alone.
-    kFleetWideCounts,         ///< Off: early refusal goes by this daemon's own counts alone.
-    kOverloadOnsetReports,    ///< Off: the first refusals after a calm time aren't reported at once.
-    kRetryAfterJitter,        ///< Off: early refusals all name the same time to come back.
-    kHedging,                 ///< Off: a slow attempt isn't joined by another one.
-    kRetries,                 ///< Off: no request is sent again. "repeats" in settings.
-    kPreferredServers,        ///< Off: a daemon prefers none of a service's servers.
-    kZonePreference,          ///< Off: servers of the own zone aren't preferred.
-    kColdServerWeighting,     ///< Off: servers that have just started get their full share.
-    kFailingServerWeighting,  ///< Off: servers that fail get their full share.
-    kConnectBackoff,          ///< Off: a server that can't be connected to is tried each time. "reach-limit".
-    kIdleConnectionLimit,     ///< Off: kept connections are used however long they were idle. "rest-limit".
-    kStartupServerProbe,      ///< Off: a starting daemon waits for the heartbeat of the server beside it.
-    kStartupServerWait,       ///< Off: after a start, requests fail at once if no server is known yet.
-    kKeyFreshness,            ///< Off: requests with keys are served however old the configuration may be.
-    kQuotas,                  ///< Off: tenants aren't held to their quotas.
+    kPeerDistribution,   ///< Off: documents come only from the store, not from peers.
+    // The following apply to the sidecar only.
+    kFleetWideCounts,         ///< Off: early refusal uses only this daemon's own counts.
+    kOverloadOnsetReports,    ///< Off: the first refusals after a period without any aren't reported
+                              ///< immediately.
+    kRetryAfterJitter,        ///< Off: all early refusals name the same Retry-After time.
+    kHedging,                 ///< Off: no second attempt is started while an attempt is slow.
+    kRetries,                 ///< Off: no request is retried. "repeats" in settings.
+    kPreferredServers,        ///< Off: a daemon has no preferred servers of a service.
+    kZonePreference,          ///< Off: servers in the local zone aren't preferred.
+    kColdServerWeighting,     ///< Off: recently started servers get their full share.
+    kFailingServerWeighting,  ///< Off: failing servers get their full share.
+    kConnectBackoff,          ///< Off: every request tries an unreachable server again. "reach-limit".
+    kIdleConnectionLimit,     ///< Off: pooled connections are reused regardless of idle time. "rest-limit".
+    kStartupServerProbe,      ///< Off: a starting daemon waits for the local server's heartbeat.
+    kStartupServerWait,       ///< Off: after a start, requests fail immediately if no server is known yet.
+    kKeyFreshness,            ///< Off: requests with keys are served regardless of the configuration's age.
+    kQuotas,                  ///< Off: tenant quotas aren't enforced.
     kCount,
 };
 
-/// Stable name, as in the setting `lab.without`: "retry-escrow".
+/// Stable name, as used in the setting `lab.without`: "retry-escrow".
 std::string_view mechanism_name(Mechanism mechanism);
-/// Nothing for an unknown name.
+/// Returns nothing for an unknown name.
 std::optional<Mechanism> mechanism_from_name(std::string_view name);
-/// All names, for messages.
+/// All names as one text, for error messages.
 std::string mechanism_names();
 
-/// Which mechanisms are in force. All are, outside the lab.
+/// The enabled mechanisms. Outside the lab all mechanisms are enabled.
 class MechanismSet {
   public:
     MechanismSet() { enabled_.set(); }
-    /// All but those named; unknown names are ignored (settings are checked before).
+    /// Enables all mechanisms except the named ones. Unknown names are ignored, because the settings are
+    /// checked earlier.
     explicit MechanismSet(const std::vector<std::string>& without);
 
     bool has(Mechanism mechanism) const { return enabled_.test(static_cast<std::size_t>(mechanism)); }
--- a/src/config/setting_catalogue.cpp
+++ b/src/config/setting_catalogue.cpp
@@ -6,7 +6,7 @@
 namespace anisehold::config {
 namespace {
 
-constexpr long long kHour = 3'600'000;
+constexpr long long kHourMs = 3'600'000;
 
 constexpr std::array kSpecs{
     SettingSpec{"daemon.id", &Settings::daemon_id, 1, 48, true, "",
@@ -22,7 +22,7 @@
                 "Secret shared by all daemons; authenticates contexts and peer messages."},
     SettingSpec{"daemon.operator_token", &Settings::daemon_operator_token, 0, 256, false, "",
                 "Token that lets an operator accept a table through the admin port; empty means read-only."},
-    SettingSpec{"daemon.stop_grace_ms", &Settings::daemon_stop_grace_ms, 0, kHour, false, "",
+    SettingSpec{"daemon.stop_grace_ms", &Settings::daemon_stop_grace_ms, 0, kHourMs, false, "",
                 "Longest wait for calls in flight at a planned stop."},
     SettingSpec{"platform.stores", &Settings::platform_stores, 0, 0, false, "",
                 "Addresses of the key-value store (etcd v3 JSON gateway)."},
@@ -30,7 +30,7 @@
                 "Address of the machine list (HTTP service discovery JSON)."},
     SettingSpec{"platform.machine_list_path", &Settings::platform_machine_list_path, 1, 256, false, "",
                 "Path of the machine list."},
-    SettingSpec{"platform.poll_ms", &Settings::platform_poll_ms, 50, kHour, false, "",
+    SettingSpec{"platform.poll_ms", &Settings::platform_poll_ms, 50, kHourMs, false, "",
                 "Period of machine list polls, and of store polls while the watch is broken."},
     SettingSpec{"membership.seeds", &Settings::membership_seeds, 0, 0, false, "",
                 "Peer addresses of some other daemons, to join the fleet through."},
@@ -42,9 +42,9 @@
                 "Largest request header accepted."},
     SettingSpec{"limits.body_bytes", &Settings::limits_body_bytes, 0, 1LL << 40U, false, "",
                 "Largest request body accepted."},
-    SettingSpec{"limits.header_timeout_ms", &Settings::limits_header_timeout_ms, 10, kHour, false, "",
+    SettingSpec{"limits.header_timeout_ms", &Settings::limits_header_timeout_ms, 10, kHourMs, false, "",
                 "Longest time for a request header to arrive; also the idle time of a kept connection."},
-    SettingSpec{"limits.body_timeout_ms", &Settings::limits_body_timeout_ms, 10, kHour, false, "",
+    SettingSpec{"limits.body_timeout_ms", &Settings::limits_body_timeout_ms, 10, kHourMs, false, "",
                 "Longest pause inside a body."},
     SettingSpec{"limits.connections", &Settings::limits_connections, 1, 1'000'000, false, "",
                 "Most caller connections open at once."},
@@ -52,11 +52,11 @@
                 false, "", "Most connections to one server."},
     SettingSpec{"backends.connect_timeout_ms", &Settings::backends_connect_timeout_ms, 1, 60'000, false, "",
                 "Longest time for connecting to a server."},
-    SettingSpec{"backends.health_period_ms", &Settings::backends_health_period_ms, 50, kHour, false, "",
+    SettingSpec{"backends.health_period_ms", &Settings::backends_health_period_ms, 50, kHourMs, false, "",
                 "Period of health probes to servers that this daemon is the gate of."},
     SettingSpec{"backends.initial_limit", &Settings::backends_initial_limit, 1, 10'000, false, "",
                 "Concurrency limit of a server before anything is learned, where the table has no limit."},
-    SettingSpec{"claims.window_ms", &Settings::claims_window_ms, 1'000, 24 * kHour, false, "",
+    SettingSpec{"claims.window_ms", &Settings::claims_window_ms, 1'000, 24 * kHourMs, false, "",
                 "How long an idempotency key is remembered; must exceed the longest time after which a "
                 "client may repeat one."},
     SettingSpec{"log.level", &Settings::log_level, 1, 8, false, "debug|info|warn|error",
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -11,8 +11,8 @@
 namespace anisehold::config {
 namespace {
 
-/// The message when the value can't be taken.
-using Assignment = std::optional<std::string>;
+/// The error message if a value is invalid; nothing after a successful assignment.
+using AssignmentError = std::optional<std::string>;
 
 std::string range_text(const SettingSpec& spec) {
     return "allowed are " + std::to_string(spec.minimum) + " to " + std::to_string(spec.maximum);
@@ -32,7 +32,7 @@
     return false;
 }
 
-Assignment assign_text(const SettingSpec& spec, std::string& target, const std::string& value) {
+AssignmentError assign_text(const SettingSpec& spec, std::string& target, const std::string& value) {
     const auto length = static_cast<long long>(value.size());
     if (length < spec.minimum || length > spec.maximum) {
         return "has " + std::to_string(length) + " characters, " + range_text(spec);
@@ -44,7 +44,7 @@
     return std::nullopt;
 }
 
-Assignment assign_integer(const SettingSpec& spec, long long& target, long long value) {
+AssignmentError assign_integer(const SettingSpec& spec, long long& target, long long value) {
     if (value < spec.minimum || value > spec.maximum) {
         return "is " + std::to_string(value) + ", " + range_text(spec);
     }
@@ -52,7 +52,7 @@
     return std::nullopt;
 }
 
-Assignment assign_endpoint(Endpoint& target, const std::string& value) {
+AssignmentError assign_endpoint(Endpoint& target, const std::string& value) {
     const auto endpoint = parse_endpoint(value);
     if (!endpoint) {
         return "\"" + value + "\" is not IP:PORT with a numeric address";
@@ -61,7 +61,7 @@
     return std::nullopt;
 }
 
-Assignment assign_endpoints(std::vector<Endpoint>& target, const std::vector<std::string>& values) {
+AssignmentError assign_endpoints(std::vector<Endpoint>& target, const std::vector<std::string>& values) {
     target.clear();
     for (const auto& value : values) {
         if (auto message = assign_endpoint(target.emplace_back(), value)) {
@@ -71,21 +71,22 @@
     return std::nullopt;
 }
 
-/// Assigns a TOML value; the node's type must be the setting's.
+/// Assigns a TOML value. The type of the node must match the type of the setting.
 struct NodeAssigner {
     const SettingSpec& spec;
     Settings& settings;
     const toml::node& node;
 
-    Assignment operator()(std::string Settings::*field) const {
+    AssignmentError operator()(std::string Settings::*field) const {
         const auto value = node.value_exact<std::string>();
-        return value ? assign_text(spec, settings.*field, *value) : Assignment("must be text in quotes");
+        return value ? assign_text(spec, settings.*field, *value) : AssignmentError("must be text in quotes");
     }
-    Assignment operator()(long long Settings::*field) const {
+    AssignmentError operator()(long long Settings::*field) const {
         const auto value = node.value_exact<int64_t>();
-        return value ? assign_integer(spec, settings.*field, *value) : Assignment("must be a whole number");
+        return value ? assign_integer(spec, settings.*field, *value)
+                     : AssignmentError("must be a whole number");
     }
-    Assignment operator()(bool Settings::*field) const {
+    AssignmentError operator()(bool Settings::*field) const {
         const auto value = node.value_exact<bool>();
         if (!value) {
             return "must be true or false";
@@ -93,16 +94,16 @@
         settings.*field = *value;
         return std::nullopt;
     }
-    Assignment operator()(Endpoint Settings::*field) const {
+    AssignmentError operator()(Endpoint Settings::*field) const {
         const auto value = node.value_exact<std::string>();
-        return value ? assign_endpoint(settings.*field, *value) : Assignment("must be \"IP:PORT\"");
+        return value ? assign_endpoint(settings.*field, *value) : AssignmentError("must be \"IP:PORT\"");
     }
-    Assignment operator()(std::vector<Endpoint> Settings::*field) const {
+    AssignmentError operator()(std::vector<Endpoint> Settings::*field) const {
         const auto values = texts();
         return values ? assign_endpoints(settings.*field, *values)
-                      : Assignment("must be a list of \"IP:PORT\"");
+                      : AssignmentError("must be a list of \"IP:PORT\"");
     }
-    Assignment operator()(std::vector<std::string> Settings::*field) const {
+    AssignmentError operator()(std::vector<std::string> Settings::*field) const {
         const auto values = texts();
         if (!values) {
             return "must be a list of texts";
@@ -134,26 +135,28 @@
     Settings& settings;
     const std::string& value;
 
-    Assignment operator()(std::string Settings::*field) const {
+    AssignmentError operator()(std::string Settings::*field) const {
         return assign_text(spec, settings.*field, value);
     }
-    Assignment operator()(long long Settings::*field) const {
+    AssignmentError operator()(long long Settings::*field) const {
         const auto number = parse_number<long long>(value);
         return number ? assign_integer(spec, settings.*field, *number)
-                      : Assignment("\"" + value + "\" is not a whole number");
+                      : AssignmentError("\"" + value + "\" is not a whole number");
     }
-    Assignment operator()(bool Settings::*field) const {
+    AssignmentError operator()(bool Settings::*field) const {
         if (value != "true" && value != "false") {
             return "must be true or false";
         }
         settings.*field = value == "true";
         return std::nullopt;
     }
-    Assignment operator()(Endpoint Settings::*field) const { return assign_endpoint(settings.*field, value); }
-    Assignment operator()(std::vector<Endpoint> Settings::*field) const {
+    AssignmentError operator()(Endpoint Settings::*field) const {
+        return assign_endpoint(settings.*field, value);
+    }
+    AssignmentError operator()(std::vector<Endpoint> Settings::*field) const {
         return assign_endpoints(settings.*field, items());
     }
-    Assignment operator()(std::vector<std::string> Settings::*field) const {
+    AssignmentError operator()(std::vector<std::string> Settings::*field) const {
         settings.*field = items();
         return std::nullopt;
     }
@@ -200,7 +203,7 @@
         if (auto message = std::visit(FlagAssigner{*spec, result_.settings, given.value}, spec->field)) {
             add_error(place, *message);
         }
-        seen_[given.name] = place;
+        given_places_[given.name] = place;
     }
 
     void check_whole() {
@@ -208,7 +211,7 @@
             return;
         }
         for (const auto& spec : setting_specs()) {
-            if (spec.required && !seen_.contains(std::string(spec.name))) {
+            if (spec.required && !given_places_.contains(std::string(spec.name))) {
                 add_error(file_name_ + " " + std::string(spec.name), "is missing");
             }
         }
@@ -258,7 +261,7 @@
         if (auto message = std::visit(NodeAssigner{*spec, result_.settings, node}, spec->field)) {
             add_error(place, *message);
         }
-        seen_[name] = place;
+        given_places_[name] = place;
     }
 
     std::string place_of_node(const std::string& name, const toml::node& node) const {
@@ -266,8 +269,8 @@
     }
 
     std::string place_of(const std::string& name) const {
-        const auto found = seen_.find(name);
-        return found == seen_.end() ? file_name_ + " " + name : found->second;
+        const auto found = given_places_.find(name);
+        return found == given_places_.end() ? file_name_ + " " + name : found->second;
     }
 
     void add_error(std::string place, std::string message) {
@@ -275,9 +278,9 @@
     }
 
     std::string file_name_;
-    bool readable_ = true;  // False after a syntax error, which hides what the file gives.
+    bool readable_ = true;  // False after a syntax error, which hides the contents of the file.
     SettingsResult result_;
-    std::map<std::string, std::string> seen_;  // Name of each setting that was given, and its place.
+    std::map<std::string, std::string> given_places_;  // Name and place of each given setting.
 };
 
 }  // namespace
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The settings of a table daemon: read from a TOML file, overridden by flags, checked as a whole. Owns their
-/// names, defaults and bounds (the table in setting_catalogue.cpp, which docs/SETTINGS.md lists); reads no
-/// file itself.
+/// The settings of a table daemon: read from a TOML file, overridden by flags, and validated as a whole. Owns
+/// their names, defaults and bounds (the table in setting_catalogue.cpp, which docs/SETTINGS.md lists); reads
+/// no file itself.
 #pragma once
 
 #include <span>
@@ -14,9 +14,8 @@
 
 namespace anisehold::config {
 
-/// All settings of a daemon, each named after its section and key; `setting_specs` says what each is for.
-/// Defaults here are the documented ones; they are chosen, not measured, unless docs/SETTINGS.md says more.
-/// Integers are in the unit of their name.
+/// All settings of a daemon, each named after its section and key; `setting_specs` describes their purpose.
+/// The defaults are the documented ones. Integers are in the unit of their name.
 struct Settings {
     std::string daemon_id;
     std::string daemon_zone;
@@ -56,7 +55,7 @@
     std::vector<std::string> lab_without;
 };
 
-/// Where a value of a setting is stored, and so what type it has.
+/// The member that stores a setting's value; also determines the setting's type.
 using SettingField =
     std::variant<std::string Settings::*, long long Settings::*, bool Settings::*, Endpoint Settings::*,
                  std::vector<Endpoint> Settings::*, std::vector<std::string> Settings::*>;
@@ -65,17 +64,17 @@
 struct SettingSpec {
     std::string_view name;
     SettingField field;
-    long long minimum;  ///< For integers the least value, for text the least length.
+    long long minimum;  ///< Minimum value of an integer, or minimum length of a text.
     long long maximum;
     bool required;
-    std::string_view allowed;  ///< For text: the allowed words, separated by '|'; empty for any.
+    std::string_view allowed;  ///< For a text: the allowed words, separated by '|'; empty for any text.
     std::string_view description;
 };
 
-/// Every setting there is, in the order of the documentation.
+/// All settings, in the order of the documentation.
 std::span<const SettingSpec> setting_specs();
 
-/// One thing that is wrong, with its place.
+/// One error, with its place.
 struct SettingError {
     std::string place;  ///< "FILE:LINE NAME" or "--flag".
     std::string message;
@@ -86,17 +85,17 @@
 /// A setting given on the command line.
 struct SettingOverride {
     std::string name;   ///< "section.key"
-    std::string value;  ///< Lists are separated by ','.
+    std::string value;  ///< Elements of a list are separated by ','.
 };
 
-/// Settings, usable only when `errors` is empty.
+/// Result of loading settings; valid only if `errors` is empty.
 struct SettingsResult {
     Settings settings;
     std::vector<SettingError> errors;
 };
 
-/// Reads `file_text` (may be empty), applies `overrides` and checks everything: all mistakes are reported,
-/// not just the first. `file_name` is only used to name places.
+/// Reads `file_text` (may be empty), applies `overrides` and validates all settings. All errors are reported,
+/// not only the first. `file_name` is only used in the places of errors.
 SettingsResult load_settings(const std::string& file_name, std::string_view file_text,
                              const std::vector<SettingOverride>& overrides);
 
--- a/src/config/sidecar_settings.cpp
+++ b/src/config/sidecar_settings.cpp
@@ -10,16 +10,16 @@
 namespace anisehold::config {
 namespace {
 
-/// Reads values of one file and collects what is wrong with them.
-class Reader {
+/// Reads the values of one file and collects the errors.
+class SettingReader {
   public:
-    Reader(std::string file_name, const toml::table& table, std::vector<SettingError>& errors)
+    SettingReader(std::string file_name, const toml::table& table, std::vector<SettingError>& errors)
         : file_name_(std::move(file_name)), table_(table), errors_(errors) {}
 
     void text(std::string_view name, std::string& value) {
         const auto found = find(name);
         if (found.empty()) {
-            fail(name, "is missing");
+            add_error(name, "is missing");
         } else {
             value = found;
         }
@@ -30,7 +30,7 @@
         if (parsed) {
             value = *parsed;
         } else {
-            fail(name, "isn't IP:PORT");
+            add_error(name, "isn't IP:PORT");
         }
     }
 
@@ -49,31 +49,31 @@
         if (parsed) {
             value = *parsed;
         } else {
-            fail(name, "isn't a length of time such as 1500ms or 2.5s");
+            add_error(name, "isn't a length of time such as 1500ms or 2.5s");
         }
     }
 
-    /// Names of mechanisms, separated by spaces.
+    /// Reads the names of the mechanisms to switch off, separated by spaces.
     void mechanisms_without(std::string_view name, MechanismSet& value) {
         std::istringstream words(find(name));
         std::vector<std::string> names;
         std::string word;
         while (words >> word) {
             if (!mechanism_from_name(word)) {
-                fail(name, "\"" + word + "\" is not one of " + mechanism_names());
+                add_error(name, "\"" + word + "\" is not one of " + mechanism_names());
             }
             names.push_back(word);
         }
         value = MechanismSet(names);
     }
 
-    bool flag(std::string_view name, bool otherwise) {
+    bool flag(std::string_view name, bool default_value) {
         const auto found = find(name);
         if (found.empty()) {
-            return otherwise;
+            return default_value;
         }
         if (found != "true" && found != "false") {
-            fail(name, "is neither true nor false");
+            add_error(name, "is neither true nor false");
         }
         return found == "true";
     }
@@ -85,7 +85,7 @@
         }
         const auto parsed = parse_number<double>(found);
         if (!parsed || *parsed < 0) {
-            fail(name, "isn't a number from 0");
+            add_error(name, "isn't a number from 0");
         } else {
             value = *parsed;
         }
@@ -93,7 +93,7 @@
 
   private:
     std::string find(std::string_view name) const { return table_.at_path(name).value_or(std::string{}); }
-    void fail(std::string_view name, const std::string& message) {
+    void add_error(std::string_view name, const std::string& message) {
         errors_.push_back({file_name_ + " " + std::string(name), message});
     }
 
@@ -115,7 +115,7 @@
         return result;
     }
     auto& settings = result.settings;
-    Reader reader(file_name, table, result.errors);
+    SettingReader reader(file_name, table, result.errors);
     reader.text("sidecar.name", settings.name);
     reader.text("sidecar.zone", settings.zone);
     reader.text("sidecar.service", settings.service);
--- a/src/config/sidecar_settings.hpp
+++ b/src/config/sidecar_settings.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Settings of the sidecar: the daemon that stands beside one server and takes the calls of its machine. Owns
-/// the names of its keys and their defaults; reads no file itself.
+/// Settings of the sidecar: the daemon that runs on the machine of one server and handles the machine's
+/// calls. Owns the names of the keys and their defaults; reads no file itself.
 #pragma once
 
 #include <string>
@@ -14,42 +14,43 @@
 
 namespace anisehold::config {
 
-/// Checked settings of one sidecar. The defaults are chosen, not measured.
+/// Validated settings of one sidecar.
 struct SidecarSettings {
-    /// Least level of events that are logged; no key of the file sets it.
+    /// Minimum level of logged events; not configurable in the settings file.
     static constexpr const char* kLogLevel = "info";
 
-    std::string name;  ///< Unique in the fleet.
+    std::string name;  ///< Unique within the fleet.
     std::string zone;
-    std::string service;         ///< Service of the server on this machine; servers get it as the caller's.
-    Endpoint calls;              ///< Where the machine's clients and server send requests.
-    Endpoint hops;               ///< Where other daemons send requests for this machine's server.
-    Endpoint control;            ///< Where the server registers.
-    Endpoint readiness;          ///< Where the platform asks for readiness.
-    Endpoint gossip;             ///< Where peers' records come in (UDP).
-    Endpoint metrics;            ///< Where metrics are served.
-    Endpoint advertised_hops;    ///< What peers send to in place of `hops`, where a forwarder stands between.
-    Endpoint advertised_gossip;  ///< The same for `gossip`.
+    std::string service;       ///< Service of the local server; also sent to called servers as the caller.
+    Endpoint calls;            ///< Listens for requests from the machine's clients and the local server.
+    Endpoint hops;             ///< Listens for requests from other daemons to the local server.
+    Endpoint control;          ///< Listens for registrations of the local server.
+    Endpoint readiness;        ///< Listens for readiness checks of the platform.
+    Endpoint gossip;           ///< Listens for peers' records (UDP).
+    Endpoint metrics;          ///< Listens for metrics scrapers.
+    Endpoint advertised_hops;  ///< Address announced to peers instead of `hops`, for use behind a forwarder.
+    Endpoint advertised_gossip;  ///< Address announced to peers instead of `gossip`.
     Endpoint store;
-    Endpoint server;  ///< The server beside; port 0 if it isn't known before its first heartbeat.
-    milliseconds heartbeat_interval{1'500};  ///< Time between two heartbeats of a server.
-    milliseconds stop_grace{6'000};          ///< Longest time that a planned stop takes.
-    double retry_ratio = 0.2;                ///< Retries that a request in the window allows.
-    double retry_extra = 0;                  ///< Retries a window beyond the ratio; see `WindowBudgetTerms`.
-    milliseconds retry_window{10'000};       ///< Time over which retries are counted.
-    /// How long after the store acknowledged that a key was taken away it may still be served; 0 for no
-    /// bound.
+    Endpoint server;  ///< The local server; port 0 if unknown before its first heartbeat.
+    milliseconds heartbeat_interval{1'500};  ///< Interval between two heartbeats of a server.
+    milliseconds stop_grace{6'000};          ///< Maximum duration of a planned stop.
+    double retry_ratio = 0.2;                ///< Retries allowed per request in the window.
+    double retry_extra = 0;  ///< Retries allowed per window beyond the ratio; see `WindowBudgetTerms`.
+    milliseconds retry_window{10'000};  ///< Window over which retries are counted.
+    /// Maximum time for which a revoked key may still be accepted after the store acknowledged the
+    /// revocation; 0 for no bound.
     milliseconds key_revocation{0};
-    MechanismSet mechanisms;  ///< All but those that the lab switches off.
+    MechanismSet mechanisms;  ///< All mechanisms except those that the lab switches off.
 };
 
-/// Settings, usable only when `errors` is empty.
+/// Result of loading settings; valid only if `errors` is empty.
 struct SidecarSettingsResult {
     SidecarSettings settings;
     std::vector<SettingError> errors;
 };
 
-/// Reads TOML. Unknown keys are skipped; missing and malformed ones are errors with their place.
+/// Parses TOML settings. Unknown keys are ignored; missing and malformed keys are reported as errors with
+/// their place.
 SidecarSettingsResult load_sidecar_settings(const std::string& file_name, std::string_view text);
 
 }  // namespace anisehold::config
--- a/src/config/table.cpp
+++ b/src/config/table.cpp
@@ -8,7 +8,7 @@
 namespace anisehold::config {
 namespace {
 
-/// Most rows of a table. Chosen, not measured.
+/// Maximum number of rows in a table.
 constexpr std::size_t kMaxRows = 2'000;
 
 }  // namespace
@@ -34,7 +34,7 @@
     TableRow changed = *found;
     auto problem = read_cell(changed, column, value);
     if (!problem) {
-        problem = finish_row(changed);
+        problem = complete_row(changed);
     }
     if (problem) {
         return TableError{0, std::string(row), std::string(column), *problem};
--- a/src/config/table.hpp
+++ b/src/config/table.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The operators' table: its rows, its checks, and its forms as CSV (table_csv.cpp) and as the JSON that the
-/// store holds (table_record.cpp). Owns the columns' names and bounds (table_cells.cpp). Pure; every mistake
-/// in a text is reported with its row and column, and a table with one isn't used.
+/// The operators' table: its rows, its validation, and its representations as CSV (table_csv.cpp) and as the
+/// JSON in the store (table_record.cpp). Owns the columns' names and bounds (table_cells.cpp). Pure. Every
+/// error in a text is reported with its row and column, and a table with an error isn't used.
 #pragma once
 
 #include <array>
@@ -17,29 +17,29 @@
 
 enum class RowKind { kService, kRequest };
 
-/// One row. A service row applies to every call to the service `name`; a request row applies to calls that
-/// fit `match`, and goes before the service's row.
+/// One row. A service row applies to all calls to the service `name`. A request row applies to calls that
+/// match its method, service and path, and takes precedence over the service's row.
 struct TableRow {
     std::string name;
     RowKind kind = RowKind::kService;
-    std::string method;              ///< Request rows: an HTTP method or "*".
-    std::string service;             ///< The service called; equals `name` in service rows.
-    std::string path_prefix;         ///< Request rows: leading part of the path.
+    std::string method;              ///< Request rows: an HTTP method, or "*" for any method.
+    std::string service;             ///< The called service; equals `name` in service rows.
+    std::string path_prefix;         ///< Request rows: prefix of the path.
     unsigned priority = 5;           ///< 0 (most important, shed last) to 9 (shed first).
-    unsigned weight = 1;             ///< Share among calls of equal priority, 1 to 1000.
-    unsigned limit = 0;              ///< Most concurrent calls per server; 0 leaves it to what is learned.
-    milliseconds timeout_ms{2'000};  ///< Longest time that a call is held, 1 to 600,000 ms.
-    unsigned retries = 0;            ///< Retries over the whole chain below a root request, 0 to 10.
-    bool repeatable = true;          ///< Whether running the call twice is harmless.
+    unsigned weight = 1;             ///< Weight among calls of equal priority, 1 to 1000.
+    unsigned limit = 0;              ///< Maximum concurrent calls per server; 0 uses the learned limit.
+    milliseconds timeout_ms{2'000};  ///< Maximum duration of a call, 1 to 600,000 ms.
+    unsigned retries = 0;            ///< Retries across the call chain of a root request, 0 to 10.
+    bool repeatable = true;          ///< Whether the call may safely run twice.
 
     bool operator==(const TableRow&) const = default;
 };
 
-/// The columns, in order, as named in the header line.
+/// The columns, in the order and with the names of the header line.
 inline constexpr std::array<std::string_view, 9> kTableColumns{
     "name", "kind", "match", "priority", "weight", "limit", "timeout_ms", "retries", "repeatable"};
 
-/// Rows with distinct names.
+/// The table: rows with distinct names.
 struct Table {
     std::vector<TableRow> rows;
 
@@ -47,9 +47,9 @@
     bool operator==(const Table&) const = default;
 };
 
-/// One bad cell or row.
+/// An error in a cell or row.
 struct TableError {
-    std::size_t line = 0;  ///< Line in the CSV text, or 0.
+    std::size_t line = 0;  ///< Line in the CSV text; 0 if the error has no line.
     std::string row;
     std::string column;
     std::string message;
@@ -57,26 +57,26 @@
     std::string text() const;
 };
 
-/// A table, usable only when `errors` is empty.
+/// Result of parsing a table; valid only if `errors` is empty.
 struct TableResult {
     Table table;
     std::vector<TableError> errors;
 };
 
-/// Reads and checks CSV (RFC 4180) with the header line `kTableColumns`, in any column order.
+/// Parses and validates CSV (RFC 4180) with the header line `kTableColumns`, in any column order.
 TableResult parse_table_csv(std::string_view text);
-/// CSV with a header line and one line a row.
+/// Formats a table as CSV: a header line, then one line per row.
 std::string to_csv(const Table& table);
 
 /// The text of one cell; empty for an unknown column.
 std::string cell_text(const TableRow& row, std::string_view column);
-/// Sets one cell from text; an error names the row and column.
+/// Parses a text into one cell. Returns an error that names the row and column if the text is invalid.
 std::optional<TableError> set_cell(Table& table, std::string_view row, std::string_view column,
                                    const std::string& value);
-/// Checks that hold over the whole table (distinct names, request rows' services present).
+/// Checks the rules across rows: distinct names, and a service row for each request row's service.
 std::vector<TableError> check_table(const Table& table);
 
-/// A cell that differs between two tables; an absent row shows as empty text.
+/// A cell that differs between two tables; the cells of a missing row are shown as empty text.
 struct CellChange {
     std::string row;
     std::string column;
@@ -86,27 +86,27 @@
     bool operator==(const CellChange&) const = default;
 };
 
-/// All cells that differ.
+/// Returns all cells that differ.
 std::vector<CellChange> changed_cells(const Table& before, const Table& after);
 
-/// What the store holds under the table's key.
+/// The record in the store under the table's key.
 struct TableRecord {
-    std::uint64_t sequence = 0;  ///< One more than that of the table it replaced.
+    std::uint64_t sequence = 0;  ///< Sequence number: that of the replaced table plus one.
     std::string change_id;
     std::string author;
-    std::string accepted_at;  ///< UTC, ISO 8601; for people only.
+    std::string accepted_at;  ///< UTC, ISO 8601; informational only.
     Table table;
 };
 
-/// A record, usable only when `errors` is empty.
+/// Result of parsing a record; valid only if `errors` is empty.
 struct TableRecordResult {
     TableRecord record;
     std::vector<TableError> errors;
 };
 
-/// JSON text of a record.
+/// Formats a record as JSON.
 std::string to_json_text(const TableRecord& record);
-/// Parses and checks a record; errors name row and column.
+/// Parses and validates a record; errors name the row and column.
 TableRecordResult parse_table_record(std::string_view json_text);
 
 }  // namespace anisehold::config
--- a/src/config/table_cells.cpp
+++ b/src/config/table_cells.cpp
@@ -7,7 +7,7 @@
 namespace anisehold::config {
 namespace {
 
-// Bounds of cells. Chosen, not measured: a greater number is taken for a mistake.
+// Bounds of cells. A larger number is treated as a mistake.
 constexpr unsigned kMaxPriority = 9;
 constexpr unsigned kMaxWeight = 1'000;
 constexpr unsigned kMaxLimit = 100'000;
@@ -23,7 +23,7 @@
     return !text.empty() && text.size() <= kMaxNameLength && std::all_of(text.begin(), text.end(), allowed);
 }
 
-CellProblem read_number(const std::string& text, unsigned minimum, unsigned maximum, unsigned& target) {
+CellError read_number(const std::string& text, unsigned minimum, unsigned maximum, unsigned& target) {
     const auto value = parse_number<unsigned>(text);
     if (!value || *value < minimum || *value > maximum) {
         return "\"" + text + "\" is not a whole number from " + std::to_string(minimum) + " to " +
@@ -33,7 +33,7 @@
     return std::nullopt;
 }
 
-CellProblem read_kind(const std::string& text, RowKind& target) {
+CellError read_kind(const std::string& text, RowKind& target) {
     if (text != "service" && text != "request") {
         return "\"" + text + "\" is not service or request";
     }
@@ -41,7 +41,7 @@
     return std::nullopt;
 }
 
-CellProblem read_repeatable(const std::string& text, bool& target) {
+CellError read_repeatable(const std::string& text, bool& target) {
     if (text != "yes" && text != "no") {
         return "\"" + text + "\" is not yes or no";
     }
@@ -49,8 +49,8 @@
     return std::nullopt;
 }
 
-/// "METHOD SERVICE /PATH"; empty for service rows.
-CellProblem read_match(const std::string& text, TableRow& row) {
+/// Parses "METHOD SERVICE /PATH"; empty for service rows.
+CellError read_match(const std::string& text, TableRow& row) {
     if (text.empty()) {
         row.method.clear();
         row.path_prefix.clear();
@@ -74,7 +74,7 @@
     return std::nullopt;
 }
 
-CellProblem read_timeout(const std::string& text, milliseconds& target) {
+CellError read_timeout(const std::string& text, milliseconds& target) {
     unsigned value = 0;
     auto problem = read_number(text, 1, kMaxTimeoutMs, value);
     if (!problem) {
@@ -83,7 +83,7 @@
     return problem;
 }
 
-CellProblem read_name(const std::string& text, std::string& target) {
+CellError read_name(const std::string& text, std::string& target) {
     if (!is_name(text)) {
         return "\"" + text + "\" is not a name of 1 to 64 letters, digits, '-', '_' or '.'";
     }
@@ -91,10 +91,10 @@
     return std::nullopt;
 }
 
-/// One column: how its cells are read, and written.
+/// One column, with the functions that parse and format its cells.
 struct Column {
     std::string_view name;
-    CellProblem (*read)(TableRow& row, const std::string& text);
+    CellError (*read)(TableRow& row, const std::string& text);
     std::string (*text)(const TableRow& row);
 };
 
@@ -148,9 +148,9 @@
     return find_column(name) != nullptr;
 }
 
-CellProblem read_cell(TableRow& row, std::string_view column, const std::string& text) {
+CellError read_cell(TableRow& row, std::string_view column, const std::string& text) {
     const auto* known = find_column(column);
-    return known == nullptr ? CellProblem("is not a column") : known->read(row, text);
+    return known == nullptr ? CellError("is not a column") : known->read(row, text);
 }
 
 std::string cell_text(const TableRow& row, std::string_view column) {
@@ -158,7 +158,7 @@
     return known == nullptr ? std::string() : known->text(row);
 }
 
-CellProblem finish_row(TableRow& row) {
+CellError complete_row(TableRow& row) {
     if (row.kind == RowKind::kService) {
         if (!row.method.empty()) {
             return "must be empty in a service row";
@@ -179,7 +179,7 @@
 }
 
 TableRow RowReader::finish() {
-    if (auto problem = finish_row(row_)) {
+    if (auto problem = complete_row(row_)) {
         add_error("match", *problem);
     }
     return std::move(row_);
--- a/src/config/table_cells.hpp
+++ b/src/config/table_cells.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The cells of a table's rows as text: what each column holds, its bounds, and its two directions. What the
-/// CSV and the JSON form of a table share. Included only inside config/.
+/// Text representation of table cells: the content of each column, its bounds, parsing and formatting. Shared
+/// by the CSV and JSON representations of a table. Included only within src/config.
 #pragma once
 
 #include <optional>
@@ -12,24 +12,25 @@
 
 namespace anisehold::config {
 
-/// What is wrong with a cell, in words; nothing if it is good.
-using CellProblem = std::optional<std::string>;
+/// Error message for a cell; nothing if the cell is valid.
+using CellError = std::optional<std::string>;
 
 bool is_column(std::string_view name);
-/// Sets one cell of a row from text; the row keeps its value if that is bad.
-CellProblem read_cell(TableRow& row, std::string_view column, const std::string& text);
-/// Checks between cells of one row; completes what a service row implies. The problem is the `match` cell's.
-CellProblem finish_row(TableRow& row);
+/// Parses a text into one cell of a row. After an error the cells of the row may be partly changed.
+CellError read_cell(TableRow& row, std::string_view column, const std::string& text);
+/// Checks the rules across the cells of one row, and fills in the service of a service row. An error concerns
+/// the `match` cell.
+CellError complete_row(TableRow& row);
 
-/// Reads one row from (column, text) pairs and collects what is wrong with them.
+/// Builds one row from pairs of column and text, and collects the errors.
 class RowReader {
   public:
-    /// `line`: in the CSV text, or 0.
+    /// `line`: line in the CSV text, or 0.
     RowReader(std::size_t line, std::string row_name, std::vector<TableError>& errors)
         : line_(line), row_name_(std::move(row_name)), errors_(errors) {}
 
     void cell(std::string_view column, const std::string& text);
-    /// The row, which is good if no error was added.
+    /// Returns the row, which is valid if no error was added.
     TableRow finish();
     void add_error(std::string_view column, std::string message);
 
--- a/src/config/table_csv.cpp
+++ b/src/config/table_csv.cpp
@@ -57,7 +57,7 @@
         }
         result.table.rows.push_back(reader.finish());
     }
-    // Rows that can't be read would only cause further errors about the table as a whole.
+    // Unreadable rows would only cause further errors in the checks of the whole table.
     if (result.errors.empty()) {
         result.errors = check_table(result.table);
     }
--- a/src/config/table_record.cpp
+++ b/src/config/table_record.cpp
@@ -58,10 +58,10 @@
     TableRecordResult result;
     const auto object = json::parse(json_text, nullptr, false);
     const auto is_text = [&](const char* key) { return object.contains(key) && object[key].is_string(); };
-    const bool shaped = object.is_object() && object.contains("rows") && object["rows"].is_array() &&
-                        object.contains("sequence") && object["sequence"].is_number_unsigned() &&
-                        is_text("change_id") && is_text("author") && is_text("accepted_at");
-    if (!shaped) {
+    const bool well_formed = object.is_object() && object.contains("rows") && object["rows"].is_array() &&
+                             object.contains("sequence") && object["sequence"].is_number_unsigned() &&
+                             is_text("change_id") && is_text("author") && is_text("accepted_at");
+    if (!well_formed) {
         result.errors.push_back({0, "", "", "the record is not a table in JSON"});
         return result;
     }
@@ -72,8 +72,8 @@
     for (const auto& row : object["rows"]) {
         result.record.table.rows.push_back(row_from_json(row, result.errors));
     }
-    const auto whole = check_table(result.record.table);
-    result.errors.insert(result.errors.end(), whole.begin(), whole.end());
+    const auto table_errors = check_table(result.record.table);
+    result.errors.insert(result.errors.end(), table_errors.begin(), table_errors.end());
     return result;
 }
 
--- a/tests/unit/config/settings_test.cpp
+++ b/tests/unit/config/settings_test.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("good settings are taken, and flags win over the file") {
+TEST_CASE("valid settings are loaded, and flags override the file") {
     const auto result = load_settings(
         "file.toml", kGood, {{"daemon.zone", "b"}, {"membership.seeds", "127.0.0.1:7,127.0.0.1:8"}});
     REQUIRE(result.errors.empty());
@@ -35,7 +35,7 @@
     CHECK(result.settings.membership_period_ms == 500);
 }
 
-TEST_CASE("a bad setting is refused with its place") {
+TEST_CASE("an invalid setting is rejected with its place") {
     const std::string good = kGood;
     CHECK(only_error(good + "[membership]\nperiod_ms = 5\n") ==
           "file.toml:9 membership.period_ms: is 5, allowed are 20 to 60000");
@@ -52,7 +52,7 @@
     CHECK(only_error(good + "broken").find("file.toml:") == 0);
 }
 
-TEST_CASE("mechanisms are only switched off in the lab, and only known ones") {
+TEST_CASE("only known mechanisms can be switched off, and only in the lab") {
     const std::string good = kGood;
     CHECK(only_error(good + "[lab]\nwithout = [\"claims\"]\n") ==
           "file.toml:9 lab.without: is only allowed with lab.enabled = true");
@@ -62,7 +62,7 @@
     CHECK(load_settings("f", good + "[lab]\nenabled = true\nwithout = [\"claims\"]\n", {}).errors.empty());
 }
 
-TEST_CASE("the settings page names every setting with its type and default") {
+TEST_CASE("the settings page lists every setting with its type and default") {
     std::ifstream file(std::string(ANISEHOLD_SOURCE_DIR) + "/docs/SETTINGS.md");
     std::ostringstream page;
     page << file.rdbuf();
--- a/tests/unit/config/sidecar_settings_test.cpp
+++ b/tests/unit/config/sidecar_settings_test.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_CASE("settings are read, and unknown ones skipped") {
+TEST_CASE("sidecar settings are loaded, and unknown keys are ignored") {
     const auto result = load_sidecar_settings("f.toml", kGood);
     REQUIRE(result.errors.empty());
     CHECK(result.settings.calls.port == 1001);
@@ -45,7 +45,7 @@
     CHECK(result.settings.retry_extra == Approx(57.0));
 }
 
-TEST_CASE("what is wrong is named with its place") {
+TEST_CASE("sidecar settings errors name their place") {
     const auto missing = load_sidecar_settings("f.toml", without(kGood, "name ="));
     REQUIRE(missing.errors.size() == 1);
     CHECK(missing.errors.front().text() == "f.toml sidecar.name: is missing");
@@ -57,14 +57,14 @@
     CHECK(broken.errors.front().place == "f.toml:1");
 }
 
-TEST_CASE("a bad length of time or number is refused") {
+TEST_CASE("an invalid duration or number is rejected") {
     auto text = kGood;
     text.replace(text.find("\"6s\""), 4, "\"6x\"");
     text.replace(text.find("\"0.25\""), 6, "\"lots\"");
     CHECK(load_sidecar_settings("f.toml", text).errors.size() == 2);
 }
 
-TEST_CASE("peers are told the advertised addresses, or else those listened at") {
+TEST_CASE("advertised addresses default to the listen addresses") {
     const auto plain = load_sidecar_settings("f.toml", kGood);
     CHECK(plain.settings.advertised_hops == plain.settings.hops);
     CHECK(plain.settings.advertised_gossip == plain.settings.gossip);
--- a/tests/unit/config/table_test.cpp
+++ b/tests/unit/config/table_test.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("a table survives CSV and JSON") {
+TEST_CASE("a table round-trips through CSV and JSON") {
     const auto table = sample_table();
     REQUIRE(table.rows.size() == 2);
     CHECK(parse_table_csv(to_csv(table)).table == table);
@@ -34,7 +34,7 @@
     CHECK(parsed.record.author == record.author);
 }
 
-TEST_CASE("a bad cell is refused with line, row and column") {
+TEST_CASE("an invalid cell is rejected with line, row and column") {
     CHECK(only_error("a,service,,10,1,0,1000,0,yes\n") ==
           "line 2, row \"a\", column \"priority\": \"10\" is not a whole number from 0 to 9");
     CHECK(only_error("a,service,,1,0,0,1000,0,yes\n").find("column \"weight\"") != std::string::npos);
@@ -49,7 +49,7 @@
           "row \"b\", column \"match\": service \"c\" has no row");
 }
 
-TEST_CASE("unknown, doubled and missing columns are refused") {
+TEST_CASE("unknown, duplicate and missing columns are rejected") {
     CHECK(parse_table_csv("name,colour\nx,red\n").errors.front().text() ==
           "line 1, row \"header\", column \"colour\": is not a column");
     CHECK(parse_table_csv("").errors.front().message == "the table is empty");
@@ -75,7 +75,7 @@
     CHECK(changes.size() == 1 + kTableColumns.size());
 }
 
-TEST_CASE("malformed records are refused, never a crash") {
+TEST_CASE("malformed table records are rejected without a crash") {
     const std::string head = R"({"sequence":1,"change_id":"","author":"","accepted_at":"","rows":)";
     for (const auto& text : {std::string(), std::string("[]"), std::string("{}"),
                              std::string(R"({"rows":3})"), head + "[3]}", head + R"([{"name":3}]})"}) {
