--- a/src/cli/admin_client.cpp
+++ b/src/cli/admin_client.cpp
@@ -8,7 +8,6 @@
 namespace anisehold::cli {
 namespace {
 
-/// Chosen, not measured.
 constexpr seconds kTimeout{3};
 
 }  // namespace
@@ -25,7 +24,7 @@
     }
     auto object = nlohmann::json::parse(*text, nullptr, false);
     if (!object.is_object()) {
-        std::cerr << admin.text() << target << ": the answer is not JSON\n";
+        std::cerr << admin.text() << target << ": the response is not a JSON object\n";
         return std::nullopt;
     }
     return object;
--- a/src/cli/admin_client.hpp
+++ b/src/cli/admin_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests of the operators' commands to a daemon's admin port.
+/// HTTP requests from the operators' commands to a daemon's admin port.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -14,7 +14,7 @@
 
 namespace anisehold::cli {
 
-/// Fetches and parses a JSON page; nothing, after a message to standard error, if that fails.
+/// Fetches and parses a JSON page. On failure, prints a message to standard error and returns nothing.
 std::optional<nlohmann::json> fetch_json(boost::asio::io_context& io, const Endpoint& admin,
                                          const std::string& target);
 
--- a/src/cli/exit_status.hpp
+++ b/src/cli/exit_status.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// Exit statuses of all commands.
+/// Exit codes of all commands.
 #pragma once
 
 namespace anisehold::cli {
 
-inline constexpr int kDone = 0;
-inline constexpr int kFailed = 1;  ///< It was tried and didn't succeed.
-inline constexpr int kUsage = 2;   ///< Bad arguments, settings or files; nothing was tried.
+inline constexpr int kExitSuccess = 0;
+inline constexpr int kExitFailure = 1;  ///< The command ran but did not succeed.
+inline constexpr int kExitUsage = 2;    ///< Invalid arguments, settings or files; nothing was attempted.
 
 }  // namespace anisehold::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// `anisehold`: the daemons and the operators' commands. Owns the command line; each command's work is its
-/// own module's.
+/// `anisehold`: the daemons and the operators' commands. Owns the command line; the work of each command is
+/// in its own module.
 
 #include <CLI/CLI.hpp>
 #include <iostream>
@@ -21,19 +21,19 @@
 int serve(net::EventLoop& loop, const SettingsOptions& options) {
     config::Settings settings;
     if (!options.load(settings)) {
-        return kUsage;
+        return kExitUsage;
     }
     observability::start_logging(settings.log_level, settings.log_layout, settings.daemon_id);
     daemon::Daemon daemon(loop, settings);
     if (!daemon.start()) {
         observability::stop_logging();
-        return kFailed;
+        return kExitFailure;
     }
     loop.wait_for_stop_signal();
     daemon.stop();
     observability::stop_logging();
-    // Detached fibers still refer to the daemon: the process ends without unwinding them.
-    net::exit_process(kDone);
+    // Detached fibers still refer to the daemon, so the process ends without unwinding them.
+    net::exit_process(kExitSuccess);
 }
 
 int check(const SettingsOptions& options, const std::string& table_file) {
@@ -43,7 +43,7 @@
         std::string text;
         if (!read_file(table_file, text)) {
             std::cerr << table_file << ": can't be read\n";
-            return kUsage;
+            return kExitUsage;
         }
         for (const auto& error : config::parse_table_csv(text).errors) {
             std::cerr << table_file << ": " << error.text() << "\n";
@@ -51,10 +51,10 @@
         }
     }
     std::cout << (good ? "all good\n" : "not usable\n");
-    return good ? kDone : kUsage;
+    return good ? kExitSuccess : kExitUsage;
 }
 
-/// The subcommands and what was given to them.
+/// The subcommands and their arguments.
 class Commands {
   public:
     void add_to(CLI::App& app) {
@@ -70,7 +70,7 @@
         sidecar_.add_to(app);
     }
 
-    /// Runs the chosen one; returns its exit status, or ends the process with it.
+    /// Runs the selected subcommand. Returns its exit status, or ends the process with that status.
     int run() {
         if (sidecar_.chosen()) {
             return sidecar_.run();
--- a/src/cli/settings_options.cpp
+++ b/src/cli/settings_options.cpp
@@ -20,7 +20,7 @@
 void SettingsOptions::add_to(CLI::App& command) {
     command.add_option("--config,-c", file_name_, "Settings file (TOML)");
     const auto specs = config::setting_specs();
-    // The options keep pointers into the vector, so it must not grow afterwards.
+    // The options keep pointers to the elements of the vector, so the vector must not grow afterwards.
     values_.resize(specs.size());
     for (std::size_t index = 0; index < specs.size(); ++index) {
         values_[index].name = specs[index].name;
--- a/src/cli/sidecar_command.cpp
+++ b/src/cli/sidecar_command.cpp
@@ -16,7 +16,8 @@
 namespace anisehold::cli {
 namespace {
 
-/// Log lines are written in groups: each write costs a system call. Chosen, not measured.
+/// Interval at which buffered log lines are written; the lines are grouped because each write costs a system
+/// call.
 constexpr milliseconds kLogFlushPeriod{200};
 
 void flush_log_later() {
@@ -27,7 +28,8 @@
 }
 
 int serve(const config::SidecarSettings& settings, const std::string& settings_file) {
-    // A changed settings file is noticed without a signal; the signal must only do no harm.
+    // Changes of the settings file are detected without a signal, so SIGHUP is ignored: its default action
+    // would end the process.
     std::signal(SIGHUP, SIG_IGN);
     net::EventLoop loop;
     observability::start_logging(config::SidecarSettings::kLogLevel, "json", settings.name,
@@ -41,10 +43,11 @@
         loop.wait_for_stop_signal();
         sidecar.stop();
     }
-    // The log holds no thread of ours: what waits is written, and the process ends without unwinding the
-    // fibers, which still refer to the sidecar. Taking the logging library down may wait for its own threads.
+    // The log has no writer thread here, so the buffered lines are written explicitly. The process then ends
+    // without unwinding the fibers, which still refer to the sidecar, and without shutting down the logging
+    // library, which could wait for the library's own threads.
     observability::flush_log();
-    net::exit_process(started ? kDone : kFailed);
+    net::exit_process(started ? kExitSuccess : kExitFailure);
 }
 
 }  // namespace
@@ -59,18 +62,18 @@
     std::string text;
     if (!read_file(settings_file_, text)) {
         std::cerr << settings_file_ << ": can't be read\n";
-        return kUsage;
+        return kExitUsage;
     }
     const auto loaded = config::load_sidecar_settings(settings_file_, text);
     for (const auto& error : loaded.errors) {
         std::cerr << error.text() << "\n";
     }
     if (!loaded.errors.empty()) {
-        return kUsage;
+        return kExitUsage;
     }
     if (check_only_) {
         std::cout << "all good\n";
-        return kDone;
+        return kExitSuccess;
     }
     return serve(loaded.settings, settings_file_);
 }
--- a/src/cli/sidecar_command.hpp
+++ b/src/cli/sidecar_command.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// `anisehold sidecar`: the daemon beside one server. The only place that joins the sidecar to the adapter of
-/// its platform.
+/// `anisehold sidecar`: the daemon for one local server. The only code that connects the sidecar to the
+/// adapter of its platform.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -8,12 +8,12 @@
 
 namespace anisehold::cli {
 
-/// Runs the sidecar, or only checks its settings.
+/// Runs the sidecar, or only validates its settings.
 class SidecarCommand {
   public:
     void add_to(CLI::App& app);
     bool chosen() const { return command_->parsed(); }
-    /// The exit status. Running does not return before a planned stop.
+    /// Returns the exit status. A running sidecar returns only after a planned stop.
     int run() const;
 
   private:
--- a/src/cli/status_commands.cpp
+++ b/src/cli/status_commands.cpp
@@ -19,15 +19,15 @@
     const auto endpoint = parse_endpoint(daemon);
     if (!endpoint) {
         std::cerr << "--daemon: \"" << daemon << "\" is not IP:PORT with a numeric address\n";
-        status = kUsage;
+        status = kExitUsage;
         return std::nullopt;
     }
     auto fleet = fetch_json(loop.io(), *endpoint, "/status");
-    status = fleet ? kDone : kFailed;
+    status = fleet ? kExitSuccess : kExitFailure;
     return fleet;
 }
 
-/// Calls `read` with each of the files, or with the standard input for "-"; false if one can't be read.
+/// Calls `read` with each file, or with standard input for "-"; false if a file can't be read.
 template <typename Read>
 bool read_files(const std::vector<std::string>& file_names, Read read) {
     for (const auto& file_name : file_names) {
@@ -77,7 +77,7 @@
     print_gates(*status);
 }
 
-/// Steps in order of time, at least one; times count from the first.
+/// Prints at least one step in chronological order; times are relative to the first step.
 void print_steps(const std::vector<json>& steps) {
     const auto first_us = steps.front().at("at_us").get<long long>();
     for (const auto& step : steps) {
@@ -96,7 +96,7 @@
 }
 
 int StatusCommand::run(net::EventLoop& loop) {
-    int status = kDone;
+    int status = kExitSuccess;
     const auto fleet = fetch_fleet(loop, daemon_, status);
     if (!fleet) {
         return status;
@@ -111,7 +111,7 @@
                   << (server.at("leaving").get<bool>() ? "  leaving" : "")
                   << (server.at("ejected").get<bool>() ? "  ejected" : "") << "\n";
     }
-    return kDone;
+    return kExitSuccess;
 }
 
 void ExplainCommand::add_to(CLI::App& app) {
@@ -119,7 +119,7 @@
     auto* daemon = command_->add_option("--daemon", daemon_, "Admin address of a daemon, IP:PORT");
     command_->add_option("--log", log_files_, "Log files of any number of processes; - for standard input")
         ->excludes(daemon);
-    command_->add_flag("--summary", counts_failures_,
+    command_->add_flag("--summary", summarize_,
                        "Count all refused and failed requests of the log files by cause");
     command_
         ->add_option("request", arguments_,
@@ -131,34 +131,34 @@
 int ExplainCommand::summarize_logs() const {
     explain::FailureSummary summary;
     if (!read_files(arguments_, [&](std::istream& input) { explain::addLog(summary, input); })) {
-        return kUsage;
+        return kExitUsage;
     }
     std::cout << explain::describe(summary);
-    return kDone;
+    return kExitSuccess;
 }
 
 int ExplainCommand::explain_logs(const std::string& request_id) const {
     std::vector<explain::LogLine> lines;
     const auto read = [&](std::istream& input) { explain::readRelevantLines(input, request_id, lines); };
     if (!read_files(log_files_, read)) {
-        return kUsage;
+        return kExitUsage;
     }
-    const auto story = explain::describe(explain::traceRequest(lines, request_id));
-    if (story.empty()) {
+    const auto trace_text = explain::describe(explain::traceRequest(lines, request_id));
+    if (trace_text.empty()) {
         std::cout << "no line of the logs names this request\n";
-        return kFailed;
+        return kExitFailure;
     }
-    std::cout << story;
-    return kDone;
+    std::cout << trace_text;
+    return kExitSuccess;
 }
 
 int ExplainCommand::run(net::EventLoop& loop) {
-    if (counts_failures_) {
+    if (summarize_) {
         return summarize_logs();
     }
     if (arguments_.size() != 1) {
         std::cerr << "explain: one request id is needed\n";
-        return kUsage;
+        return kExitUsage;
     }
     const auto& request_id = arguments_.front();
     if (!log_files_.empty()) {
@@ -166,13 +166,13 @@
     }
     if (daemon_.empty()) {
         std::cerr << "explain: --daemon or --log is needed\n";
-        return kUsage;
+        return kExitUsage;
     }
     return explain_fleet(loop, request_id);
 }
 
 int ExplainCommand::explain_fleet(net::EventLoop& loop, const std::string& request_id) const {
-    int status = kDone;
+    int status = kExitSuccess;
     const auto fleet = fetch_fleet(loop, daemon_, status);
     if (!fleet) {
         return status;
@@ -192,9 +192,9 @@
               [](const json& left, const json& right) { return left.at("at_us") < right.at("at_us"); });
     if (steps.empty()) {
         std::cout << "no daemon remembers this request\n";
-        return kFailed;
+        return kExitFailure;
     }
     print_steps(steps);
-    return kDone;
+    return kExitSuccess;
 }
 }  // namespace anisehold::cli
--- a/src/cli/status_commands.hpp
+++ b/src/cli/status_commands.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// `anisehold status` and `anisehold explain`: print what daemons and logs say; change nothing.
+/// `anisehold status` and `anisehold explain`: print information from daemons and logs, without changing
+/// anything.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -10,7 +11,7 @@
 
 namespace anisehold::cli {
 
-/// Prints the fleet as one daemon sees it, and each member's own state.
+/// Prints the fleet from one daemon's view, and each member's own state.
 class StatusCommand {
   public:
     void add_to(CLI::App& app);
@@ -23,8 +24,8 @@
     std::string daemon_;
 };
 
-/// Prints what all members decided about one request, in order of time: as running daemons remember it, or
-/// from log files; or counts what was refused and failed in log files.
+/// Prints the decisions of all members about one request in chronological order, from running daemons or from
+/// log files; or counts the refused and failed requests in log files.
 class ExplainCommand {
   public:
     void add_to(CLI::App& app);
@@ -41,7 +42,7 @@
     std::string daemon_;
     std::vector<std::string> log_files_;
     std::vector<std::string> arguments_;  ///< A request id, or log files.
-    bool counts_failures_ = false;
+    bool summarize_ = false;
 };
 
 }  // namespace anisehold::cli
--- a/src/cli/table_commands.cpp
+++ b/src/cli/table_commands.cpp
@@ -17,10 +17,9 @@
 
 using store::AcceptOutcome;
 
-// Chosen, not measured.
-/// Longest time for one call to the store.
+/// Timeout of one call to the store.
 constexpr milliseconds kStoreTimeout{3'000};
-/// Longest time that `--wait` waits for all members, and how often it asks one.
+/// Maximum time for which `--wait` waits for all members, and pause between two requests to a member.
 constexpr seconds kInForceTimeout{30};
 constexpr milliseconds kInForcePoll{10};
 
@@ -60,7 +59,7 @@
     }
 }
 
-/// "ROW.COLUMN=VALUE"; the row's name may itself contain dots.
+/// Splits "ROW.COLUMN=VALUE"; the row's name may contain dots.
 bool split_cell(const std::string& text, std::string& row, std::string& column, std::string& value) {
     const auto equals = text.find('=');
     const auto dot = equals == std::string::npos ? equals : text.rfind('.', equals);
@@ -73,7 +72,7 @@
     return true;
 }
 
-/// The table in the store; nothing, after a message, if it can't be had.
+/// Loads the table from the store. On failure, prints a message and returns nothing.
 std::optional<store::StoredTable> load(store::TableStore& tables) {
     std::error_code error;
     auto stored = tables.load(error);
@@ -113,7 +112,7 @@
         const auto endpoint = parse_endpoint(text);
         if (!endpoint) {
             std::cerr << "--store: \"" << text << "\" is not IP:PORT with a numeric address\n";
-            return kUsage;
+            return kExitUsage;
         }
         endpoints.push_back(*endpoint);
     }
@@ -137,56 +136,56 @@
 int TableCommands::show(store::TableStore& tables, bool as_csv) {
     const auto stored = load(tables);
     if (!stored) {
-        return kFailed;
+        return kExitFailure;
     }
     if (as_csv) {
         std::cout << config::to_csv(stored->record.table);
-        return kDone;
+        return kExitSuccess;
     }
     print_grid(stored->record.table);
     std::cout << "revision " << stored->revision << ", change " << stored->record.change_id << " by "
               << stored->record.author << " at " << stored->record.accepted_at << "\n";
-    return kDone;
+    return kExitSuccess;
 }
 
 int TableCommands::set_cells(store::TableStore& tables) {
     const auto base = load(tables);
     if (!base) {
-        return kFailed;
+        return kExitFailure;
     }
-    auto wanted = base->record.table;
+    auto edited = base->record.table;
     for (const auto& cell : cells_) {
         std::string row;
         std::string column;
         std::string value;
         if (!split_cell(cell, row, column, value)) {
             std::cerr << "\"" << cell << "\" is not ROW.COLUMN=VALUE\n";
-            return kUsage;
+            return kExitUsage;
         }
-        if (const auto problem = config::set_cell(wanted, row, column, value)) {
+        if (const auto problem = config::set_cell(edited, row, column, value)) {
             std::cerr << problem->text() << "\n";
-            return kUsage;
+            return kExitUsage;
         }
     }
-    return report(tables.accept(*base, wanted, author_));
+    return report(tables.accept(*base, edited, author_));
 }
 
 int TableCommands::accept_file(store::TableStore& tables) {
     std::string text;
     if (!read_file(file_, text)) {
         std::cerr << file_ << ": can't be read\n";
-        return kUsage;
+        return kExitUsage;
     }
     const auto parsed = config::parse_table_csv(text);
     for (const auto& problem : parsed.errors) {
         std::cerr << file_ << ": " << problem.text() << "\n";
     }
     if (!parsed.errors.empty()) {
-        return kUsage;
+        return kExitUsage;
     }
     const auto base = load(tables);
     if (!base) {
-        return kFailed;
+        return kExitFailure;
     }
     return report(tables.accept(*base, parsed.table, author_));
 }
@@ -197,28 +196,28 @@
             std::cout << "accepted: change " << result.change_id << ", revision " << result.revision
                       << (result.rebased ? " (onto another operator's change)" : "") << "\n";
             print_changes(result.changes);
-            return wait_ ? wait_until_in_force(result.revision) : kDone;
+            return wait_ ? wait_until_in_force(result.revision) : kExitSuccess;
         case AcceptOutcome::kUnchanged:
             std::cout << "nothing to change\n";
-            return kDone;
+            return kExitSuccess;
         case AcceptOutcome::kCollision:
             std::cout << "not accepted: another operator changed the same cells (their value -> yours)\n";
             print_changes(result.collisions);
-            return kFailed;
+            return kExitFailure;
         case AcceptOutcome::kUnknown:
             std::cout << "unknown: the store gave no answer; ask later with: table outcome "
                       << result.change_id << "\n";
-            return kFailed;
+            return kExitFailure;
         case AcceptOutcome::kUnreachable:
             std::cout << "not accepted: the store can't be reached; nothing was written\n";
-            return kFailed;
+            return kExitFailure;
         case AcceptOutcome::kBadTable:
             for (const auto& error : result.errors) {
                 std::cout << "not accepted: " << error.text() << "\n";
             }
-            return kFailed;
+            return kExitFailure;
     }
-    return kFailed;
+    return kExitFailure;
 }
 
 std::optional<Endpoint> TableCommands::daemon_endpoint() const {
@@ -232,12 +231,12 @@
 int TableCommands::wait_until_in_force(std::uint64_t revision) {
     const auto first = daemon_endpoint();
     if (!first) {
-        return kUsage;
+        return kExitUsage;
     }
     const auto started = TimePoint::clock::now();
     const auto fleet = fetch_json(loop_->io(), *first, "/status");
     if (!fleet) {
-        return kFailed;
+        return kExitFailure;
     }
     for (const auto& member : fleet->at("members")) {
         const auto admin = parse_endpoint(member.at("admin").get<std::string>());
@@ -248,7 +247,7 @@
             in_force = status && status->at("table_revision").get<std::uint64_t>() >= revision;
             if (!in_force && TimePoint::clock::now() - started > kInForceTimeout) {
                 std::cout << "not yet in force at " << member.at("id").get<std::string>() << "\n";
-                return kFailed;
+                return kExitFailure;
             }
             if (!in_force) {
                 boost::this_fiber::sleep_for(kInForcePoll);
@@ -258,7 +257,7 @@
                   << member.at("zone").get<std::string>() << ") after "
                   << to_milliseconds(TimePoint::clock::now() - started) << " ms\n";
     }
-    return kDone;
+    return kExitSuccess;
 }
 
 int TableCommands::show_history(store::TableStore& tables) {
@@ -266,14 +265,14 @@
     const auto entries = tables.history(history_limit_, error);
     if (!entries) {
         std::cerr << "the store gave no history: " << error.message() << "\n";
-        return kFailed;
+        return kExitFailure;
     }
     for (const auto& entry : *entries) {
         std::cout << entry.sequence << " " << entry.accepted_at << " " << entry.change_id << " by "
                   << entry.author << "\n";
         print_changes(entry.changes);
     }
-    return kDone;
+    return kExitSuccess;
 }
 
 int TableCommands::show_outcome(store::TableStore& tables) {
@@ -281,15 +280,15 @@
     const auto entry = tables.find_change(change_id_, error);
     if (error) {
         std::cerr << "the store gave no history: " << error.message() << "\n";
-        return kFailed;
+        return kExitFailure;
     }
     if (!entry) {
         std::cout << "not accepted (or older than the history)\n";
-        return kFailed;
+        return kExitFailure;
     }
     std::cout << "accepted as number " << entry->sequence << " at " << entry->accepted_at << "\n";
     print_changes(entry->changes);
-    return kDone;
+    return kExitSuccess;
 }
 
 }  // namespace anisehold::cli
--- a/src/cli/table_commands.hpp
+++ b/src/cli/table_commands.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// `anisehold table ...`: the operators' way to the table. Reads and changes it in the store; daemons only
-/// say whether a change is in force.
+/// `anisehold table ...`: the operators' access to the table. Reads and changes the table in the store;
+/// daemons are only asked whether a change is active.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -17,10 +17,10 @@
 /// Options and actions of the table command.
 class TableCommands {
   public:
-    /// Adds the subcommands; when one was chosen, `run` does its work.
+    /// Adds the subcommands; `run` executes the selected one.
     void add_to(CLI::App& app);
     bool chosen() const { return command_ != nullptr && command_->parsed(); }
-    /// Runs the chosen subcommand; returns the exit status.
+    /// Runs the selected subcommand and returns the exit status.
     int run(net::EventLoop& loop);
 
   private:
