--- a/src/cli/status_commands.hpp
+++ b/src/cli/status_commands.hpp
@@ -16,7 +16,7 @@
   public:
     void add_to(CLI::App& app);
     bool chosen() const { return command_ != nullptr && command_->parsed(); }
-    /// The exit status.
+    /// Returns the exit status.
     int run(net::EventLoop& loop);
 
   private:
@@ -30,7 +30,7 @@
   public:
     void add_to(CLI::App& app);
     bool chosen() const { return command_ != nullptr && command_->parsed(); }
-    /// The exit status.
+    /// Returns the exit status.
     int run(net::EventLoop& loop);
 
   private:
--- a/src/daemon/handles/early_refusal_route.hpp
+++ b/src/daemon/handles/early_refusal_route.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Refuses new root requests of a row whose nested calls are being refused because of overload. Owns the
-/// counts of each row; relies on admission/adaptive_throttle for the decision.
+/// Refuses new root requests of a row while its calls, or calls nested in them, are being refused because of
+/// overload. Owns the counts of each row; relies on admission/adaptive_throttle for the decision.
 #pragma once
 
 #include "admission/adaptive_throttle.hpp"
--- a/src/daemon/membership_service.hpp
+++ b/src/daemon/membership_service.hpp
@@ -41,7 +41,7 @@
     /// Merges another member's full list and returns this daemon's full list.
     std::vector<membership::MemberRecord> exchange_records(
         const std::vector<membership::MemberRecord>& theirs);
-    /// A random member that isn't gone.
+    /// A random member that is neither dead nor left.
     std::optional<membership::MemberInfo> random_peer() { return swim_.random_peer(); }
 
     /// Returns the gate of a server: the daemon on the server's own machine, otherwise a daemon chosen by
--- a/src/daemon/table_page.hpp
+++ b/src/daemon/table_page.hpp
@@ -6,7 +6,7 @@
 
 namespace anisehold::daemon {
 
-/// The whole page.
+/// The HTML text of the page.
 extern const std::string_view kTablePage;
 
 }  // namespace anisehold::daemon
