--- a/src/sidecar/configuration_holder.cpp
+++ b/src/sidecar/configuration_holder.cpp
@@ -29,7 +29,7 @@
     if (listener_) {
         listener_(*current_, source);
     }
-    return OfferOutcome::kApplied;
+    return OfferOutcome::kTaken;
 }
 
 }  // namespace anisehold::sidecar
--- a/src/sidecar/configuration_holder.hpp
+++ b/src/sidecar/configuration_holder.hpp
@@ -16,7 +16,7 @@
 
 /// Result of offering a configuration.
 enum class OfferOutcome {
-    kApplied,
+    kTaken,
     kNotNewer,  ///< The configuration in force has the same version or a higher one.
     kRejected,  ///< The configuration can't be parsed.
 };
