--- a/src/sidecar/crash_exchange.cpp
+++ b/src/sidecar/crash_exchange.cpp
@@ -41,7 +41,7 @@
     net::EventLoop::spawn([this] { report_to_one_periodically(); });
 }
 
-std::vector<KnownRequest> CrashExchange::known_requests(TimePoint now) const {
+std::vector<KnownRequest> CrashExchange::remembered(TimePoint now) const {
     std::vector<KnownRequest> requests;
     for (const auto& [digest, suspect] : ledger_.suspects) {
         const auto ends = suspect.latest + suspects::condemnationTime(suspect.numCrashes);
@@ -53,7 +53,7 @@
 }
 
 void CrashExchange::set_metrics(TimePoint now) const {
-    const auto requests = known_requests(now);
+    const auto requests = remembered(now);
     const auto condemned = std::count_if(requests.begin(), requests.end(),
                                          [](const KnownRequest& each) { return each.is_condemned; });
     context_.metrics.set_suspects("condemned", static_cast<std::size_t>(condemned));
@@ -109,7 +109,7 @@
     changed_.notify();
 }
 
-bool CrashExchange::clear(const RequestDigest& digest) {
+bool CrashExchange::lift(const RequestDigest& digest) {
     if (!suspects::clearRequest(ledger_, TimePoint::clock::now(), digest)) {
         return false;
     }
--- a/src/sidecar/crash_exchange.hpp
+++ b/src/sidecar/crash_exchange.hpp
@@ -53,7 +53,7 @@
         return suspects::isCondemned(ledger_, now, request);
     }
     /// All condemned and suspected requests, those with the most crashes first.
-    std::vector<KnownRequest> known_requests(TimePoint now) const;
+    std::vector<KnownRequest> remembered(TimePoint now) const;
 
     /// Records that the local server crashed while `runs` were in progress.
     void on_crash(const std::vector<suspects::CrashedRun>& runs);
@@ -69,7 +69,7 @@
     void on_stored(const std::vector<store::StoreItem>& items, bool may_remove);
     /// Clears the request on behalf of an operator, so that it may be sent again; returns false if nothing is
     /// known about it.
-    bool clear(const RequestDigest& digest);
+    bool lift(const RequestDigest& digest);
 
   private:
     /// Records a series of crashes; returns true if it condemned the request.
--- a/src/sidecar/endpoints.cpp
+++ b/src/sidecar/endpoints.cpp
@@ -124,13 +124,13 @@
         return text_response(kBadRequest,
                              "GET " + path + " or DELETE " + path + "DIGEST, 32 hexadecimal digits\n");
     }
-    return parts_.crashes.clear(*digest) ? text_response(kOk, "lifted\n")
-                                         : text_response(kNotFound, "not remembered\n");
+    return parts_.crashes.lift(*digest) ? text_response(kOk, "lifted\n")
+                                        : text_response(kNotFound, "not remembered\n");
 }
 
 net::HttpResponse Endpoints::list_suspects() const {
     std::string text;
-    for (const auto& each : parts_.crashes.known_requests(TimePoint::clock::now())) {
+    for (const auto& each : parts_.crashes.remembered(TimePoint::clock::now())) {
         text += each.digest.text() + " crashes=" + std::to_string(each.crashes) +
                 (each.is_condemned ? " condemned for_s=" : " suspected for_s=") +
                 std::to_string(to_milliseconds(each.ends_in) / 1000) + "\n";
