--- a/demo/table_demo.cpp
+++ b/demo/table_demo.cpp
@@ -31,7 +31,7 @@
     const auto service = fleet.deployment().kind("echo")->service;
     std::string servers;
     for (const auto& place : fleet.backends_of(service)) {
-        servers += (servers.empty() ? "" : ",") + place.seen.text();
+        servers += (servers.empty() ? "" : ",") + place.advertised.text();
     }
     std::vector<std::string> straight{
         "load",
